--- a/internal/ingress/client_end.go
+++ b/internal/ingress/client_end.go
@@ -22,31 +22,31 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.evicted = true
-	c.nudge()
+	c.interruptRead()
 }
 
 // drain closes the connection between requests. Once halted it takes no further
 // one, but for the first on a new connection.
-func (c *client) drain(halt bool) {
+func (c *client) drain(firstCommandOnly bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.drained, c.halted = true, c.halted || halt
-	c.nudge()
+	c.draining, c.firstCommandOnly = true, c.firstCommandOnly || firstCommandOnly
+	c.interruptRead()
 }
 
 // stopReading ends the connection once all that was read is started and answered.
 func (c *client) stopReading() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.final = true
-	c.nudge()
+	c.readingStopped = true
+	c.interruptRead()
 }
 
 // closeNow closes the connection, whatever is due.
 func (c *client) closeNow() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.failed = fmt.Errorf("the process ends with %d answers not taken", len(c.pending))
+	c.closeErr = fmt.Errorf("the process ends with %d answers not taken", len(c.pending))
 	c.nc.Close()
 }
 
@@ -57,25 +57,25 @@
 		return
 	}
 	c.mu.Lock()
-	owed, failed := c.owed, c.failed
+	answers, closeErr := c.answers, c.closeErr
 	c.mu.Unlock()
-	log.Closed(eventlog.Closed{Client: c.number, Reason: cmp.Or(failed, reason).Error(), Age: time.Since(c.opened),
-		Answers: owed, Unread: waiting(c.nc)})
+	log.Closed(eventlog.Closed{Client: c.id, Reason: cmp.Or(closeErr, reason).Error(), Age: time.Since(c.opened),
+		Answers: answers, Unread: waiting(c.nc)})
 }
 
 // finish lets the writer send the answers still due: a connection that closes
 // under them loses requests. It returns sooner if the client leaves.
-func (c *client) finish() {
+func (c *client) flushAndLinger() {
 	c.mu.Lock()
 	c.closing = true
-	due := c.writing && !c.evicted
+	answersDue := c.writerStarted && !c.evicted
 	c.nc.SetReadDeadline(time.Time{})
 	c.mu.Unlock()
-	if !due {
+	if !answersDue {
 		return
 	}
-	notify(c.wake)
-	if left := c.watch(); left || leaves(c, c.written) {
+	notify(c.writerWake)
+	if closed := c.waitReadable(); closed || peerClosedBefore(c, c.writerDone) {
 		return
 	}
 	c.linger()
@@ -85,25 +85,25 @@
 // crosses the end turns it into a reset, which must not overtake them, and which
 // throws away what the client's machine has not taken yet.
 func (c *client) linger() {
-	end := time.Now().Add(lingerTime)
-	c.nc.SetReadDeadline(end)
-	if left := c.watch(); left || leaves(c, time.After(time.Until(end))) {
+	deadline := time.Now().Add(lingerTimeout)
+	c.nc.SetReadDeadline(deadline)
+	if closed := c.waitReadable(); closed || peerClosedBefore(c, time.After(time.Until(deadline))) {
 		return
 	}
-	given := make(chan struct{})
-	defer time.AfterFunc(writeTimeout, func() { close(given) }).Stop()
-	for undelivered(c.nc) {
+	timedOut := make(chan struct{})
+	defer time.AfterFunc(writeTimeout, func() { close(timedOut) }).Stop()
+	for hasUndeliveredData(c.nc) {
 		select {
-		case <-given:
+		case <-timedOut:
 			return
-		case <-time.After(leaveCheck):
+		case <-time.After(peerCloseCheckInterval):
 		}
 	}
 }
 
 // watch waits until the client leaves, or sends something, or the deadline has
 // passed. It takes nothing off the connection.
-func (c *client) watch() (left bool) {
+func (c *client) waitReadable() (closed bool) {
 	raw, err := c.nc.(syscall.Conn).SyscallConn()
 	if err != nil {
 		return true
@@ -111,23 +111,23 @@
 	var first [1]byte
 	err = raw.Read(func(fd uintptr) bool {
 		n, _, err := syscall.Recvfrom(int(fd), first[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		left = n == 0 || n < 0 && !errors.Is(err, syscall.EAGAIN) && !errors.Is(err, syscall.EINTR)
-		return n > 0 || left
+		closed = n == 0 || n < 0 && !errors.Is(err, syscall.EAGAIN) && !errors.Is(err, syscall.EINTR)
+		return n > 0 || closed
 	})
-	return left || err != nil && !errors.Is(err, os.ErrDeadlineExceeded)
+	return closed || err != nil && !errors.Is(err, os.ErrDeadlineExceeded)
 }
 
 // leaves waits for done, and tells whether the client has left before. What it
 // has sent and nobody reads hides its end, so the connection itself is asked.
-func leaves[T any](c *client, done <-chan T) bool {
-	check := time.NewTicker(leaveCheck)
+func peerClosedBefore[T any](c *client, done <-chan T) bool {
+	check := time.NewTicker(peerCloseCheckInterval)
 	defer check.Stop()
 	for {
 		select {
 		case <-done:
 			return false
 		case <-check.C:
-			if left(c.nc) {
+			if peerClosed(c.nc) {
 				return true
 			}
 		}
@@ -135,10 +135,10 @@
 }
 
 // left tells whether the other side has closed the connection, read or not.
-func left(nc net.Conn) bool {
+func peerClosed(nc net.Conn) bool {
 	info, err := tcpInfo(nc)
 	switch {
-	case errors.Is(err, errUnknown):
+	case errors.Is(err, errStateUnknown):
 		return false
 	case err != nil:
 		return true
@@ -153,7 +153,7 @@
 
 // undelivered tells whether the other side's machine has not taken all that was
 // written yet.
-func undelivered(nc net.Conn) bool {
+func hasUndeliveredData(nc net.Conn) bool {
 	info, err := tcpInfo(nc)
 	if err != nil || info.State == unix.BPF_TCP_CLOSE {
 		return false
@@ -162,7 +162,7 @@
 }
 
 // errUnknown means that the system does not tell the state of a connection.
-var errUnknown = errors.New("the state of the connection is not known")
+var errStateUnknown = errors.New("the state of the connection is not known")
 
 // tcpInfo asks the system for the state of a connection. An error other than
 // errUnknown means that it is closed on this side.
@@ -171,14 +171,14 @@
 	if err != nil {
 		return nil, err
 	}
-	var refused error
+	var optionErr error
 	if err := raw.Control(func(fd uintptr) {
-		info, refused = unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO)
+		info, optionErr = unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO)
 	}); err != nil {
 		return nil, err
 	}
-	if refused != nil {
-		return nil, errUnknown
+	if optionErr != nil {
+		return nil, errStateUnknown
 	}
 	return info, nil
 }
--- a/internal/ingress/client_test.go
+++ b/internal/ingress/client_test.go
@@ -14,7 +14,7 @@
 	"cedarseam/internal/membership"
 )
 
-func TestRequestGoesOnUnchangedButForItsTimeLimit(t *testing.T) {
+func TestRequestIsForwardedUnchangedExceptTimeLimit(t *testing.T) {
 	b := newBackend(t)
 	r := newRig(t, nil, b.member("b"))
 	c := r.dial()
@@ -35,7 +35,7 @@
 	c.want("$4\r\ndone")
 }
 
-func TestPipelinedCommandsStartAtOnceAndAreAnsweredInOrder(t *testing.T) {
+func TestPipelinedCommandsRunConcurrentlyAndAnswerInOrder(t *testing.T) {
 	b := newBackend(t)
 	r := newRig(t, nil, b.member("b"))
 	c := r.dial()
@@ -52,7 +52,7 @@
 	c.want("+PONG")
 }
 
-func TestWhatIsNoRequestIsAnsweredAndNotForwarded(t *testing.T) {
+func TestInvalidCommandsAreRejectedAndNotForwarded(t *testing.T) {
 	b := newBackend(t)
 	r := newRig(t, nil, b.member("b"))
 	ask := func(from, to string) []string {
@@ -105,16 +105,16 @@
 
 // A client that sends nonsense as fast as it is turned away must not take the
 // CPU of the others.
-func TestConnectionEndsAfterTooManyWrongCommands(t *testing.T) {
+func TestConnectionClosesAfterTooManyInvalidCommands(t *testing.T) {
 	r := newRig(t, nil, newBackend(t).member("b"))
 	c := r.dial()
 	c.write(strings.Repeat(encode("GET", "x"), 1000))
 	for n := 1; ; n++ {
 		got := c.line()
-		if !strings.HasPrefix(got, "-ERR ") || n > mostWrong {
+		if !strings.HasPrefix(got, "-ERR ") || n > maxInvalidCommands {
 			t.Fatalf("answer %d is %q", n, got)
 		}
-		if n == mostWrong {
+		if n == maxInvalidCommands {
 			break
 		}
 	}
@@ -125,26 +125,26 @@
 
 // An id is new with every try. The copy of one that is open is a stranger's,
 // and the value made for the request must not go to him.
-func TestCopyOfAnOpenRequestIsTurnedAway(t *testing.T) {
+func TestDuplicateRequestIDIsRejected(t *testing.T) {
 	b := newBackend(t)
 	r := newRig(t, nil, b.member("b"))
-	c, stranger := r.dial(), r.dial()
+	c, other := r.dial(), r.dial()
 	c.send("Q.ASK", anyone, someID, lookup)
 	got := wait(t, "the request", b.got)
-	stranger.send("Q.ASK", anyone, someID, lookup)
-	if got := stranger.line(); !strings.HasPrefix(got, "-ERR ") {
+	other.send("Q.ASK", anyone, someID, lookup)
+	if got := other.line(); !strings.HasPrefix(got, "-ERR ") {
 		t.Errorf("the copy is answered %q, want -ERR", got)
 	}
 	got.answer("v")
 	c.want("$1\r\nv")
-	stranger.send("Q.ASK", anyone, someID, lookup) // nor a moment after
-	if got := stranger.line(); !strings.HasPrefix(got, "-ERR ") {
+	other.send("Q.ASK", anyone, someID, lookup) // nor a moment after
+	if got := other.line(); !strings.HasPrefix(got, "-ERR ") {
 		t.Errorf("the late copy is answered %q, want -ERR", got)
 	}
 	idle(t, "a copy sent on", b.got)
 }
 
-func TestIDsAreForgottenAfterTheirTime(t *testing.T) {
+func TestRecentIDsExpire(t *testing.T) {
 	r := recentIDs{span: 10}
 	for _, step := range []struct {
 		at   time.Duration
@@ -165,31 +165,31 @@
 }
 
 // Who says nothing, or half a command, would keep a descriptor for good.
-func TestSilentClientsAndHalfCommandsAreEnded(t *testing.T) {
+func TestSilentConnectionsAndPartialCommandsTimeOut(t *testing.T) {
 	r := newRig(t, nil, newBackend(t).member("b"))
-	silent, half, asked := r.dial(), r.dial(), r.dial()
-	half.write("*2\r\n$4\r\nPI")
-	asked.send("PING")
-	asked.want("+PONG")
-	for name, c := range map[string]*fakeClient{"silent": silent, "half": half} {
+	silent, partial, used := r.dial(), r.dial(), r.dial()
+	partial.write("*2\r\n$4\r\nPI")
+	used.send("PING")
+	used.want("+PONG")
+	for name, c := range map[string]*fakeClient{"silent": silent, "half": partial} {
 		if got := c.line(); !strings.HasPrefix(got, "-ERR ") {
 			t.Errorf("%s: answer %q, want -ERR", name, got)
 		}
 		c.wantEnd()
 	}
-	asked.send("PING") // quiet for as long, but it has asked
-	asked.want("+PONG")
-	asked.write("*1\r\n$4\r\nPI")
-	if got := asked.line(); !strings.HasPrefix(got, "-ERR ") {
+	used.send("PING") // quiet for as long, but it has asked
+	used.want("+PONG")
+	used.write("*1\r\n$4\r\nPI")
+	if got := used.line(); !strings.HasPrefix(got, "-ERR ") {
 		t.Errorf("half a command behind a whole one is answered %q, want -ERR", got)
 	}
-	asked.wantEnd()
+	used.wantEnd()
 }
 
 // Frames that cannot be read end their connection after a plain error, and
 // nobody else notices. What is too long is refused by its length line: waiting
 // for 60 MB that come slowly would hold the connection for as long.
-func TestBrokenFramesEndOnlyTheirConnection(t *testing.T) {
+func TestMalformedFramesCloseOnlyTheirConnection(t *testing.T) {
 	b := newBackend(t)
 	r := newRig(t, nil, b.member("b"))
 	other := r.dial()
@@ -208,7 +208,7 @@
 		"*1\r\n$+4\r\nPING\r\n",
 		"*1\r\n$-1\r\n",
 		"*2\r\n$4\r\nPING\r\n$60000000\r\n",
-		fmt.Sprintf("*5\r\n$4\r\nQ.DO\r\n$%d\r\n", maxValue+1),
+		fmt.Sprintf("*5\r\n$4\r\nQ.DO\r\n$%d\r\n", maxValueBytes+1),
 	} {
 		c := r.dial()
 		c.send("PING")
@@ -239,7 +239,7 @@
 	c.want("+PONG")
 }
 
-func TestBackendsOfTheConfigurationServeWhileDiscoveryIsDown(t *testing.T) {
+func TestConfiguredBackendsServeWhileDiscoveryIsDown(t *testing.T) {
 	b := newBackend(t)
 	d := newFakeDiscovery(t)
 	addr := d.Listener.Addr().String()
@@ -259,7 +259,7 @@
 }
 
 // A client that has left must not keep its attempts going.
-func TestLeavingClientEndsItsAttempts(t *testing.T) {
+func TestClientDisconnectCancelsItsAttempts(t *testing.T) {
 	b := newBackend(t)
 	r := newRig(t, nil, b.member("b"))
 	c := r.dial()
@@ -272,7 +272,7 @@
 	r.eventually("the request to be forgotten", func(l *loop) bool { return len(l.requests) == 0 })
 }
 
-func TestRefusalCarriesTheAdvice(t *testing.T) {
+func TestRefusalCarriesRetryAdvice(t *testing.T) {
 	b := newBackend(t)
 	r := newRig(t, func(cfg *Config) { cfg.Choice.Plans[0].CeilingRate, cfg.Choice.Plans[0].CeilingBurst = 1e-9, 1 }, b.member("b"))
 	c := r.dial()
@@ -287,17 +287,17 @@
 }
 
 // Open requests past the memory for them are refused; held, they would end the process.
-func TestRequestsPastTheMemoryAreRefused(t *testing.T) {
+func TestRequestsOverTheMemoryLimitAreRefused(t *testing.T) {
 	b := newBackend(t)
 	r := newRig(t, nil, b.member("b"))
-	r.ask(func(l *loop) { l.memory.most = 3000 })
+	r.ask(func(l *loop) { l.memory.limit = 3000 })
 	c := r.dial()
 	body := strings.Repeat("x", 2000)
 	c.send("Q.DO", anyone, newID(), payment, body)
 	first := wait(t, "the request", b.got)
 	c.send("Q.DO", anyone, newID(), payment, body)
 	c.send("PING")
-	r.someClient("the commands to be taken", func(c *client) bool { return len(c.pending) == 3 })
+	r.waitForAnyClient("the commands to be taken", func(c *client) bool { return len(c.pending) == 3 })
 	first.answer("v")
 	c.want("$1\r\nv")
 	c.want(refusal)
@@ -309,11 +309,11 @@
 }
 
 // unread takes what is left unread of a connection.
-func unread(t *testing.T, nc net.Conn, least int) string {
+func readUnread(t *testing.T, nc net.Conn, minBytes int) string {
 	t.Helper()
 	nc.SetReadDeadline(time.Now().Add(patience))
 	buf := make([]byte, 1000)
-	n, err := io.ReadAtLeast(nc, buf, least)
+	n, err := io.ReadAtLeast(nc, buf, minBytes)
 	if err != nil {
 		t.Errorf("of what came %d bytes are unread, %v", n, err)
 	}
@@ -321,27 +321,27 @@
 }
 
 // readInput is what a reader has read and not started yet.
-func readInput(text string) input {
+func newInput(text string) input {
 	in := input{buf: []byte(text)}
-	in.came.add(len(text), time.Now())
+	in.arrivals.add(len(text), time.Now())
 	return in
 }
 
 // A command that has been read just as its connection is to make room for
 // another has been taken: the client would not send it again.
-func TestCommandReadBeforeAnEvictionIsAnswered(t *testing.T) {
+func TestCommandReadBeforeEvictionIsAnswered(t *testing.T) {
 	r := newRig(t, nil, newBackend(t).member("b"))
 	b := newBench(t)
 	c := newClient(r.server, b.nc)
-	in := readInput(encode("PING"))
+	in := newInput(encode("PING"))
 	r.server.mu.Lock()
 	c.evict()
 	r.server.leaving++
 	r.server.mu.Unlock()
-	if _, err := c.commands(&in); err != nil || c.ends(&in, false) != nil {
+	if _, err := c.startCommands(&in); err != nil || c.prepareRead(&in, false) != nil {
 		t.Errorf("the connection ends, %v", err)
 	}
-	if got := unread(t, b.far, len("+PONG\r\n")); got != "+PONG\r\n" {
+	if got := readUnread(t, b.far, len("+PONG\r\n")); got != "+PONG\r\n" {
 		t.Errorf("the client gets %q", got)
 	}
 	r.server.mu.Lock()
@@ -349,9 +349,9 @@
 		t.Error("the connection still counts as leaving")
 	}
 	r.server.mu.Unlock()
-	go c.read()
+	go c.serve()
 	fmt.Fprint(b.far, encode("PING")) // it goes on
-	unread(t, b.far, len("+PONG\r\n"))
+	readUnread(t, b.far, len("+PONG\r\n"))
 	c.evict() // idle now, it is closed
 	if got, err := io.ReadAll(b.far); len(got) > 0 || err != nil {
 		t.Errorf("the client gets %q, %v; want the end", got, err)
@@ -360,24 +360,24 @@
 
 // A connection on which a command has begun is in use, also if that came just as
 // it is to make room for another: the rest of the command is waited for.
-func TestHalfACommandKeepsItsConnectionFromEviction(t *testing.T) {
+func TestPartialCommandPreventsEviction(t *testing.T) {
 	r := newRig(t, nil, newBackend(t).member("b"))
 	b := newBench(t)
 	c := newClient(r.server, b.nc)
 	whole := encode("PING")
-	in := readInput(whole[:5])
+	in := newInput(whole[:5])
 	r.server.mu.Lock()
 	c.evict()
 	r.server.leaving++
 	r.server.mu.Unlock()
-	if held, err := c.commands(&in); err != nil || c.ends(&in, held) != nil {
+	if blocked, err := c.startCommands(&in); err != nil || c.prepareRead(&in, blocked) != nil {
 		t.Fatalf("the connection ends, %v", err)
 	}
-	rest := readInput(whole)
-	if held, err := c.commands(&rest); err != nil || c.ends(&rest, held) != nil {
+	rest := newInput(whole)
+	if blocked, err := c.startCommands(&rest); err != nil || c.prepareRead(&rest, blocked) != nil {
 		t.Fatalf("the connection ends behind the command, %v", err)
 	}
-	unread(t, b.far, len("+PONG\r\n"))
+	readUnread(t, b.far, len("+PONG\r\n"))
 	r.server.mu.Lock()
 	defer r.server.mu.Unlock()
 	if r.server.leaving != 0 {
@@ -387,13 +387,13 @@
 
 // A command that crosses the end of its connection is not read: the client
 // then sends it elsewhere. Neither does it cost the answer before it.
-func TestCommandThatCrossesTheEndStaysUnread(t *testing.T) {
-	for name, halt := range map[string]bool{"drained": false, "halted": true} {
+func TestCommandArrivingAfterCloseDecisionStaysUnread(t *testing.T) {
+	for name, firstCommandOnly := range map[string]bool{"drained": false, "halted": true} {
 		r := newRig(t, nil, newBackend(t).member("b"))
 		b := newBench(t)
 		c := newClient(r.server, b.nc)
 		c.reply([]byte("+last\r\n"))
-		if got := unread(t, b.far, len("+last\r\n")); got != "+last\r\n" {
+		if got := readUnread(t, b.far, len("+last\r\n")); got != "+last\r\n" {
 			t.Errorf("%s: the client gets %q", name, got)
 		}
 		r.eventually("the writer to be done", func(*loop) bool {
@@ -401,17 +401,17 @@
 			defer c.mu.Unlock()
 			return !c.sending
 		})
-		c.drain(halt)
+		c.drain(firstCommandOnly)
 		late := encode("PING")
 		fmt.Fprint(b.far, late)
 		for b.quiet() { // until it has come
 			time.Sleep(time.Millisecond)
 		}
-		if err := c.take(); !errors.Is(err, errEnds) {
+		if err := c.readCommands(); !errors.Is(err, errServerClose) {
 			t.Errorf("%s: the reader ends with %v", name, err)
 		}
-		c.finish()
-		if got := unread(t, b.nc, len(late)); got != late {
+		c.flushAndLinger()
+		if got := readUnread(t, b.nc, len(late)); got != late {
 			t.Errorf("%s: %q is left unread", name, got)
 		}
 		if got, err := io.ReadAll(b.far); len(got) > 0 || err != nil {
@@ -422,23 +422,23 @@
 
 // A connection in the listener's queue has been accepted by the machine: what
 // its client has written is taken, though the stop finds it there.
-func TestConnectionsInTheQueueAreServedAfterTheStop(t *testing.T) {
+func TestQueuedConnectionsAreServedAfterStop(t *testing.T) {
 	b := newBackend(t)
 	r := newRig(t, func(cfg *Config) { cfg.Limits.Sockets, cfg.Choice.Probing = 20, false }, b.member("b"))
-	const places = 11 // of 20 descriptors
+	const clientLimit = 11 // of 20 descriptors
 	r.stopNow()
 	var clients []*fakeClient
-	for range places + 5 { // the last ones find no room
+	for range clientLimit + 5 { // the last ones find no room
 		c := r.dial()
 		c.send("PING")
 		c.send("Q.DO", anyone, newID(), payment, "BODY")
 		clients = append(clients, c)
 	}
-	for _, c := range clients[:places] {
+	for _, c := range clients[:clientLimit] {
 		c.want("+PONG")
 	}
 	r.stop()
-	for _, c := range clients[places:] {
+	for _, c := range clients[clientLimit:] {
 		c.want("+PONG")
 	}
 	go func() {
@@ -461,57 +461,57 @@
 // The writer may make a place just before the reader waits for one: what has
 // been read already must not wait for more to come. And a pause that is long
 // over must not keep a reader without a place busy.
-func TestReaderWaitsForAPlaceAndForNothingElse(t *testing.T) {
+func TestReaderWaitsOnlyForAFreeSlot(t *testing.T) {
 	r := newRig(t, nil, newBackend(t).member("b"))
 	b := newBench(t)
 	c := newClient(r.server, b.nc)
-	c.heard = true
-	full := make([]*slot, mostPending)
-	in := readInput(encode("PING"))
-	in.hold = time.Now().Add(-time.Hour)
+	c.sentCommand = true
+	allSlots := make([]*slot, maxPipelinedCommands)
+	in := newInput(encode("PING"))
+	in.blockedUntil = time.Now().Add(-time.Hour)
 
-	c.pending = full
-	held, err := c.commands(&in)
-	if !held || err != nil || c.ends(&in, held) != nil {
-		t.Fatalf("with all places taken, held is %v, %v", held, err)
+	c.pending = allSlots
+	blocked, err := c.startCommands(&in)
+	if !blocked || err != nil || c.prepareRead(&in, blocked) != nil {
+		t.Fatalf("with all places taken, held is %v, %v", blocked, err)
 	}
 	fmt.Fprint(b.far, "x")
 	if n, err := c.nc.Read(make([]byte, 1)); n != 1 {
 		t.Errorf("the reader does not wait: %v", err)
 	}
 
-	if held, _ = c.commands(&in); !held {
+	if blocked, _ = c.startCommands(&in); !blocked {
 		t.Fatal("a command is started without a place")
 	}
 	c.mu.Lock() // as the writer does
-	c.pending, c.full = nil, false
-	c.nudge()
+	c.pending, c.pipelineFull = nil, false
+	c.interruptRead()
 	c.mu.Unlock()
-	if c.ends(&in, held) != nil {
+	if c.prepareRead(&in, blocked) != nil {
 		t.Fatal("the connection ends")
 	}
-	looked := make(chan error, 1)
+	readDone := make(chan error, 1)
 	go func() {
 		_, err := c.nc.Read(make([]byte, 1))
-		looked <- err
+		readDone <- err
 	}()
-	if err := wait(t, "the reader to look up", looked); !errors.Is(err, os.ErrDeadlineExceeded) {
+	if err := wait(t, "the reader to look up", readDone); !errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Errorf("the reader ends with %v", err)
 	}
-	if held, err = c.commands(&in); held || err != nil || len(in.buf) > 0 {
-		t.Errorf("the command is not started: held %v, %v", held, err)
+	if blocked, err = c.startCommands(&in); blocked || err != nil || len(in.buf) > 0 {
+		t.Errorf("the command is not started: held %v, %v", blocked, err)
 	}
 }
 
 // someClient waits until something holds of a connection of a client.
-func (r *rig) someClient(what string, ok func(*client) bool) {
+func (r *rig) waitForAnyClient(what string, condition func(*client) bool) {
 	r.Helper()
 	r.eventually(what, func(*loop) bool {
 		r.server.mu.Lock()
 		defer r.server.mu.Unlock()
 		for c := range r.server.clients {
 			c.mu.Lock()
-			found := ok(c)
+			found := condition(c)
 			c.mu.Unlock()
 			if found {
 				return true
@@ -522,7 +522,7 @@
 }
 
 // patient makes a rig whose clients wait for longer than any test.
-func patient(t *testing.T, b *fakeBackend) (r *rig, long string) {
+func newLongDeadlineRig(t *testing.T, b *fakeBackend) (r *rig, options string) {
 	r = newRig(t, func(cfg *Config) {
 		cfg.Choice.Probing = false
 		for i := range cfg.Choice.Classes {
@@ -534,47 +534,47 @@
 
 // Whatever the reader waits for, a client that leaves is noticed at once: what
 // is open for it ends, and nothing more is started.
-func TestLeavingClientIsNoticed(t *testing.T) {
-	for name, then := range map[string]func(*rig, *fakeClient, string){
-		"while all places are taken": func(r *rig, c *fakeClient, long string) {
+func TestClientDisconnectIsDetected(t *testing.T) {
+	for name, prepare := range map[string]func(*rig, *fakeClient, string){
+		"while all places are taken": func(r *rig, c *fakeClient, options string) {
 			var text strings.Builder
-			for range 2 * mostPending {
-				text.WriteString(encode("Q.DO", anyone, newID(), long, "BODY"))
+			for range 2 * maxPipelinedCommands {
+				text.WriteString(encode("Q.DO", anyone, newID(), options, "BODY"))
 			}
 			c.write(text.String())
-			r.someClient("the places to be taken", func(c *client) bool { return c.full })
+			r.waitForAnyClient("the places to be taken", func(c *client) bool { return c.pipelineFull })
 		},
 		"while the last answers are due": func(r *rig, c *fakeClient, _ string) {
 			c.write("nonsense\r\n")
-			r.someClient("the end to be near", func(c *client) bool { return c.closing })
+			r.waitForAnyClient("the end to be near", func(c *client) bool { return c.closing })
 		},
-		"after the stop": func(r *rig, _ *fakeClient, _ string) { r.halt() },
+		"after the stop": func(r *rig, _ *fakeClient, _ string) { r.stopAndCloseListener() },
 		"after the stop, behind a command that nobody reads": func(r *rig, c *fakeClient, _ string) {
-			r.halt()
-			r.someClient("the end to be near", func(c *client) bool { return c.closing })
+			r.stopAndCloseListener()
+			r.waitForAnyClient("the end to be near", func(c *client) bool { return c.closing })
 			c.send("PING")
 		},
-		"behind more than the reader holds": func(r *rig, c *fakeClient, long string) {
+		"behind more than the reader holds": func(r *rig, c *fakeClient, options string) {
 			var text strings.Builder
-			for range mostPending {
-				text.WriteString(encode("Q.DO", anyone, newID(), long, "BODY"))
+			for range maxPipelinedCommands {
+				text.WriteString(encode("Q.DO", anyone, newID(), options, "BODY"))
 			}
 			c.write(text.String())
-			r.someClient("the places to be taken", func(c *client) bool { return c.full })
+			r.waitForAnyClient("the places to be taken", func(c *client) bool { return c.pipelineFull })
 			text.Reset()
-			for text.Len() < maxMessage+readBuffer+8<<10 { // a little more than the reader's buffer; the system's holds it
-				text.WriteString(encode("Q.DO", anyone, newID(), long, strings.Repeat("x", 4<<10)))
+			for text.Len() < maxMessageBytes+readBuffer+8<<10 { // a little more than the reader's buffer; the system's holds it
+				text.WriteString(encode("Q.DO", anyone, newID(), options, strings.Repeat("x", 4<<10)))
 			}
 			c.write(text.String())
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := newBackend(t)
-			r, long := patient(t, b)
+			r, options := newLongDeadlineRig(t, b)
 			c := r.dial()
-			c.send("Q.DO", anyone, newID(), long, "BODY")
+			c.send("Q.DO", anyone, newID(), options, "BODY")
 			got := wait(t, "the request", b.got)
-			then(r, c, long)
+			prepare(r, c, options)
 			c.nc.Close()
 			for wait(t, "the end of the attempt", b.closed) != got.nc { // others may have been sent on as well
 			}
@@ -584,7 +584,7 @@
 
 // What was posted before the end of the loop is still handled: the last client
 // that leaves would otherwise keep its attempt at a backend.
-func TestLoopHandlesWhatCameBeforeItsEnd(t *testing.T) {
+func TestLoopHandlesQueuedEventsBeforeStopping(t *testing.T) {
 	for range 100 { // both are ready: without order, half of them end first
 		l := &loop{events: make(chan event, 2), done: make(chan struct{})}
 		handled, stop := 0, make(chan struct{})
@@ -599,13 +599,13 @@
 }
 
 // halt stops the ingress, and waits until it takes no further client.
-func (r *rig) halt() {
+func (r *rig) stopAndCloseListener() {
 	r.stopNow()
 	r.stop()
 	r.untilRefused()
 }
 
-func TestStopAnswersWhatIsOpenAndEndsBetweenRequests(t *testing.T) {
+func TestStopAnswersOpenRequestsAndClosesIdleConnections(t *testing.T) {
 	b := newBackend(t)
 	r := newRig(t, nil, b.member("b"))
 	quiet, busy := r.dial(), r.dial()
@@ -634,7 +634,7 @@
 
 // At the limit of descriptors the connection that has been idle for longest
 // makes room; one with a request open never does.
-func TestIdleClientMakesRoomForANewOne(t *testing.T) {
+func TestIdleClientIsEvictedForANewOne(t *testing.T) {
 	b := newBackend(t)
 	r := newRig(t, func(cfg *Config) { cfg.Limits.Sockets = keptSockets + 4 }, b.member("b")) // two for clients
 	for n := 1; n > 0; {                                                                      // that of the rig is gone
@@ -656,7 +656,7 @@
 	busy.want("$1\r\nv")
 }
 
-func TestRequestIsAnsweredBeforeItsClientGivesUp(t *testing.T) {
+func TestRequestIsAnsweredBeforeClientTimeout(t *testing.T) {
 	b := newBackend(t)
 	r := newRig(t, nil, b.member("b"))
 	c := r.dial()
@@ -675,7 +675,7 @@
 }
 
 // A request gets one final answer, whatever else is said of it later.
-func TestSecondAnswerIsNotGiven(t *testing.T) {
+func TestSecondAnswerIsDropped(t *testing.T) {
 	b := newBackend(t)
 	r := newRig(t, nil, b.member("b"))
 	c := r.dial()
@@ -693,7 +693,7 @@
 	c.want("+PONG")
 }
 
-func TestConfigurationIsChecked(t *testing.T) {
+func TestInvalidConfigurationIsRejected(t *testing.T) {
 	for name, text := range map[string]string{
 		"no JSON": "{", "no settings": `{"name":"n"}`, "bad seed": `{"seed":"x","settings":` + fmt.Sprintf(settings, 1) + `}`,
 	} {
@@ -722,34 +722,34 @@
 // A command that is held back, for want of a place, has no more time than its
 // client, though more comes behind it meanwhile: the time that is told to the
 // backend counts from its own last byte.
-func TestHeldCommandCountsFromItsLastByte(t *testing.T) {
+func TestBlockedCommandDeadlineCountsFromItsLastByte(t *testing.T) {
 	r := newRig(t, nil, newBackend(t).member("b"))
 	b := newBench(t)
 	c := newClient(r.server, b.nc)
-	c.heard = true
-	c.pending = make([]*slot, mostPending)
-	const waits, held = 20 * time.Second, 5 * time.Second
+	c.sentCommand = true
+	c.pending = make([]*slot, maxPipelinedCommands)
+	const timeLimit, blockedFor = 20 * time.Second, 5 * time.Second
 	in := input{}
 	now := time.Now()
-	for _, at := range []time.Time{now.Add(-held), now} {
+	for _, at := range []time.Time{now.Add(-blockedFor), now} {
 		text := encode("Q.DO", anyone, newID(), payment, "BODY")
 		in.buf = append(in.buf, text...)
-		in.came.add(len(text), at)
-		if h, err := c.commands(&in); !h || err != nil {
-			t.Fatalf("with all places taken, held is %v, %v", h, err)
+		in.arrivals.add(len(text), at)
+		if blocked, err := c.startCommands(&in); !blocked || err != nil {
+			t.Fatalf("with all places taken, held is %v, %v", blocked, err)
 		}
 	}
 	c.mu.Lock()
 	c.pending = nil
 	c.mu.Unlock()
-	if _, err := c.commands(&in); err != nil {
+	if _, err := c.startCommands(&in); err != nil {
 		t.Fatal(err)
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for i, want := range []time.Duration{waits - held, waits} {
-		if left := c.pending[i].request.deadline.Sub(now); left > want || left < want-answerMargin {
-			t.Errorf("request %d has %v left, want %v less the margin", i, left, want)
+	for i, want := range []time.Duration{timeLimit - blockedFor, timeLimit} {
+		if remaining := c.pending[i].request.deadline.Sub(now); remaining > want || remaining < want-answerMargin {
+			t.Errorf("request %d has %v left, want %v less the margin", i, remaining, want)
 		}
 	}
 }
--- a/internal/ingress/command.go
+++ b/internal/ingress/command.go
@@ -15,14 +15,14 @@
 )
 
 const (
-	maxValue    = 64 << 10        // bytes of one value
-	maxMessage  = maxValue + 4096 // bytes of one command or answer, the largest value among them
-	maxFigures  = 2048            // bytes of a load report or the figures on use
-	maxParts    = 16              // of a command
-	maxDigits   = 15              // of a number
-	answerParts = 3
-	mostUsed    = 10_000  // percent: no customer uses a hundred times his quota
-	mostLoad    = 100_000 // requests held, or milliseconds of service
+	maxValueBytes   = 64 << 10             // bytes of one value
+	maxMessageBytes = maxValueBytes + 4096 // bytes of one command or answer, the largest value among them
+	maxMetricsBytes = 2048                 // bytes of a load report or the figures on use
+	maxArgs         = 16                   // of a command
+	maxDigits       = 15                   // of a number
+	answerElements  = 3
+	maxUsedPercent  = 10_000  // percent: no customer uses a hundred times his quota
+	maxLoadValue    = 100_000 // requests held, or milliseconds of service
 )
 
 // nextCommand takes the first whole command off buf; n is 0 while it is not
@@ -35,19 +35,19 @@
 	if buf[0] != '*' {
 		return nil, 0, errMalformed
 	}
-	count, at, err := length(buf)
+	count, at, err := parseLength(buf)
 	if err != nil || at == 0 {
 		return nil, 0, err
 	}
-	if count < 0 || count > maxParts {
+	if count < 0 || count > maxArgs {
 		return nil, 0, errMalformed
 	}
 	for range count {
-		part, n, err := bulk(buf[at:], maxMessage-at)
+		arg, n, err := parseBulk(buf[at:], maxMessageBytes-at)
 		if err != nil || n == 0 {
 			return nil, 0, err
 		}
-		args = append(args, part)
+		args = append(args, arg)
 		at += n
 	}
 	return args, at, nil
@@ -57,15 +57,15 @@
 // backend turns away what it can't use, and a customer's record must not
 // change by what is no request of his.
 type command struct {
-	args             [][]byte // as the client sent them
-	limitAt, limitTo int      // where the value of d stands in the options
-	class, plan      int
-	customer         uint64
-	name             uint64 // the client's id, new with every try
-	limit            time.Duration
-	units            float64
-	spread, first    int
-	repeat           bool
+	args                         [][]byte // as the client sent them
+	timeLimitStart, timeLimitEnd int      // where the value of d stands in the options
+	class, plan                  int
+	customer                     uint64
+	requestID                    uint64 // the client's id, new with every try
+	timeLimit                    time.Duration
+	units                        float64
+	spread, first                int
+	repeat                       bool
 }
 
 const (
@@ -75,15 +75,15 @@
 
 // parseCommand decodes a Q.ASK or Q.DO. Its error is worded for the client.
 func (cfg *Config) parseCommand(args [][]byte) (*command, error) {
-	ask := equalFold(args[0], "Q.ASK")
+	isAsk := equalFold(args[0], "Q.ASK")
 	switch {
-	case !ask && !equalFold(args[0], "Q.DO"):
+	case !isAsk && !equalFold(args[0], "Q.DO"):
 		return nil, errors.New("unknown command")
-	case ask && len(args) != 4 || !ask && len(args) != 5:
+	case isAsk && len(args) != 4 || !isAsk && len(args) != 5:
 		return nil, errors.New("wrong number of arguments")
 	}
 	for _, a := range args {
-		if len(a) > maxValue {
+		if len(a) > maxValueBytes {
 			return nil, errTooLong
 		}
 	}
@@ -92,27 +92,27 @@
 	if c.customer, err = parseHex(args[1]); err != nil || c.customer >= maxCustomer {
 		return nil, errors.New("bad customer")
 	}
-	if c.name, err = parseHex(args[2]); err != nil {
+	if c.requestID, err = parseHex(args[2]); err != nil {
 		return nil, errors.New("bad request id")
 	}
 	gateways := max(1, cfg.Choice.Gateways)
 	var seen option
 	options := args[optionsArg]
-	for at := 0; at <= len(options); {
+	for start := 0; start <= len(options); {
 		end := len(options)
-		if i := bytes.IndexByte(options[at:], ','); i >= 0 {
-			end = at + i
+		if i := bytes.IndexByte(options[start:], ','); i >= 0 {
+			end = start + i
 		}
-		name, value, ok := strings.Cut(string(options[at:end]), "=")
+		name, value, ok := strings.Cut(string(options[start:end]), "=")
 		if !ok {
 			return nil, errors.New("bad options")
 		}
-		is := optionNames[name]
-		if seen&is != 0 { // which of the two would a backend believe?
+		opt := optionNames[name]
+		if seen&opt != 0 { // which of the two would a backend believe?
 			return nil, fmt.Errorf("%s stands twice", name)
 		}
-		seen |= is
-		switch is {
+		seen |= opt
+		switch opt {
 		case optClass:
 			if c.class, ok = cfg.classes[value]; !ok {
 				return nil, errors.New("unknown class")
@@ -121,17 +121,17 @@
 			if c.plan, ok = cfg.plans[value]; !ok {
 				return nil, errors.New("unknown plan")
 			}
-		case optLimit:
+		case optTimeLimit:
 			var ms float64
 			ms, err = parseDecimal(value)
 			if err == nil && ms < 1 {
 				err = errMalformed
 			}
-			c.limit = time.Duration(min(ms, math.MaxInt32) * float64(time.Millisecond))
-			c.limitAt, c.limitTo = at+len("d="), end
+			c.timeLimit = time.Duration(min(ms, math.MaxInt32) * float64(time.Millisecond))
+			c.timeLimitStart, c.timeLimitEnd = start+len("d="), end
 		case optUnits:
 			c.units, err = parseDecimal(value)
-			if most := cfg.Choice.MaxUnits; err == nil && (c.units <= 0 || most > 0 && c.units > most) {
+			if maxUnits := cfg.Choice.MaxUnits; err == nil && (c.units <= 0 || maxUnits > 0 && c.units > maxUnits) {
 				err = errMalformed
 			}
 		case optSpread:
@@ -146,12 +146,12 @@
 		if err != nil {
 			return nil, fmt.Errorf("bad value of %s", name)
 		}
-		at = end + 1
+		start = end + 1
 	}
 	switch {
-	case seen&optNeeded != optNeeded:
+	case seen&optRequired != optRequired:
 		return nil, errors.New("class, plan, time limit, units or set is missing")
-	case ask != (cfg.Choice.Classes[c.class].Effect == choice.Free):
+	case isAsk != (cfg.Choice.Classes[c.class].Effect == choice.Free):
 		return nil, errors.New("the command does not serve this class")
 	}
 	return c, nil
@@ -163,16 +163,16 @@
 const (
 	optClass option = 1 << iota
 	optPlan
-	optLimit
+	optTimeLimit
 	optUnits
 	optSpread
 	optFirst
 	optRepeat
 
-	optNeeded = optRepeat - 1
+	optRequired = optRepeat - 1
 )
 
-var optionNames = map[string]option{"c": optClass, "t": optPlan, "d": optLimit, "units": optUnits,
+var optionNames = map[string]option{"c": optClass, "t": optPlan, "d": optTimeLimit, "units": optUnits,
 	"spread": optSpread, "first": optFirst, "r": optRepeat}
 
 // equalFold compares a command's name, which may be written in any case.
@@ -188,26 +188,26 @@
 // parseDecimal reads digits with at most one point inside, and nothing else
 // that a float could be: no sign, exponent, infinity, hexadecimal or underscore.
 func parseDecimal(s string) (float64, error) {
-	whole, part, point := strings.Cut(s, ".")
-	if len(s) > maxDigits || !digits(whole) || point && !digits(part) {
+	integer, fraction, hasPoint := strings.Cut(s, ".")
+	if len(s) > maxDigits || !allDigits(integer) || hasPoint && !allDigits(fraction) {
 		return 0, errMalformed
 	}
 	return strconv.ParseFloat(s, 64)
 }
 
 // parseCount reads a whole number from least to most.
-func parseCount(s string, least, most int) (int, error) {
-	if len(s) > maxDigits || !digits(s) {
+func parseCount(s string, lower, upper int) (int, error) {
+	if len(s) > maxDigits || !allDigits(s) {
 		return 0, errMalformed
 	}
 	v, err := strconv.Atoi(s)
-	if err == nil && (v < least || v > most) {
+	if err == nil && (v < lower || v > upper) {
 		err = errMalformed
 	}
 	return v, err
 }
 
-func digits(s string) bool {
+func allDigits(s string) bool {
 	for i := range len(s) {
 		if s[i] < '0' || s[i] > '9' {
 			return false
@@ -218,14 +218,14 @@
 
 // appendTo appends the command for a backend: as the client sent it, with the
 // time that the ingress will wait.
-func (c *command) appendTo(b []byte, wait time.Duration) []byte {
+func (c *command) appendTo(b []byte, timeout time.Duration) []byte {
 	b = redcon.AppendArray(b, len(c.args))
 	for i, a := range c.args {
 		if i == optionsArg {
 			options := make([]byte, 0, len(a)+8)
-			options = append(options, a[:c.limitAt]...)
-			options = strconv.AppendInt(options, max(1, wait.Milliseconds()), 10)
-			a = append(options, a[c.limitTo:]...)
+			options = append(options, a[:c.timeLimitStart]...)
+			options = strconv.AppendInt(options, max(1, timeout.Milliseconds()), 10)
+			a = append(options, a[c.timeLimitEnd:]...)
 		}
 		b = redcon.AppendBulk(b, a)
 	}
@@ -251,30 +251,30 @@
 	}
 	switch buf[0] {
 	case '*':
-		return cfg.served(buf)
+		return cfg.parseValueReply(buf)
 	case '$': // the answer to a probe
-		data, n, err := bulkOrNull(buf, maxFigures)
+		data, n, err := parseBulkOrNull(buf, maxMetricsBytes)
 		if n > 0 && data != nil {
 			r.status = choice.OK
-			cfg.note(&r, data)
+			cfg.parseMetrics(&r, data)
 		}
 		return r, n, err
 	case '-':
-		text, n, err := line(buf)
+		text, n, err := parseLine(buf)
 		if n == 0 || err != nil {
 			return r, 0, err
 		}
 		words := bytes.Fields(text)
 		// A line that is spoilt proves nothing, whatever it begins with.
-		if len(words) > 0 && string(words[0]) == "BUSY" && printable(text) {
+		if len(words) > 0 && string(words[0]) == "BUSY" && isPrintable(text) {
 			r.status = choice.Refused
 		}
 		for _, word := range words {
-			cfg.note(&r, word)
+			cfg.parseMetrics(&r, word)
 		}
 		return r, n, nil
 	case '+', ':':
-		_, n, err := line(buf)
+		_, n, err := parseLine(buf)
 		return r, n, err
 	}
 	return r, 0, errMalformed
@@ -283,35 +283,35 @@
 // served takes an answer with a value: the value, the figures on use and the
 // load report. The latter two may be null, and are left out if they can't be
 // read; the value is as good without them.
-func (cfg *Config) served(buf []byte) (r reply, n int, err error) {
+func (cfg *Config) parseValueReply(buf []byte) (r reply, n int, err error) {
 	r.status = choice.Error
-	count, n, err := length(buf)
+	count, n, err := parseLength(buf)
 	if err != nil || n == 0 {
 		return r, 0, err
 	}
-	if count != answerParts {
+	if count != answerElements {
 		return r, 0, errMalformed
 	}
-	value, used, err := bulkOrNull(buf[n:], maxValue)
-	if err != nil || used == 0 {
+	value, consumed, err := parseBulkOrNull(buf[n:], maxValueBytes)
+	if err != nil || consumed == 0 {
 		return r, 0, err
 	}
-	whole := buf[n : n+used]
-	for n += used; count > 1; count-- {
-		var figures []byte
+	rawValue := buf[n : n+consumed]
+	for n += consumed; count > 1; count-- {
+		var metrics []byte
 		if n < len(buf) && bytes.IndexByte([]byte("+-:"), buf[n]) >= 0 {
-			_, used, err = line(buf[n:])
+			_, consumed, err = parseLine(buf[n:])
 		} else {
-			figures, used, err = bulkOrNull(buf[n:], maxFigures)
+			metrics, consumed, err = parseBulkOrNull(buf[n:], maxMetricsBytes)
 		}
-		if err != nil || used == 0 {
+		if err != nil || consumed == 0 {
 			return r, 0, err
 		}
-		cfg.note(&r, figures)
-		n += used
+		cfg.parseMetrics(&r, metrics)
+		n += consumed
 	}
 	if value != nil {
-		r.status, r.value = choice.OK, bytes.Clone(whole)
+		r.status, r.value = choice.OK, bytes.Clone(rawValue)
 	}
 	return r, n, nil
 }
@@ -319,39 +319,39 @@
 // note takes figures such as used=37 or inflight=7,latency_ms=12 into r. Those
 // that can't be read, or are beyond reason, are left out with all that stands
 // beside them: what is spoilt in one place is not to be believed in another.
-func (cfg *Config) note(r *reply, word []byte) {
-	if bytes.IndexByte(word, '=') < 0 {
+func (cfg *Config) parseMetrics(r *reply, metrics []byte) {
+	if bytes.IndexByte(metrics, '=') < 0 {
 		return
 	}
-	var got reply
-	var fields uint
-	for pair := range strings.SplitSeq(string(word), ",") {
-		name, text, _ := strings.Cut(pair, "=")
-		value, err := parseDecimal(text)
+	var parsed reply
+	var seen uint
+	for pair := range strings.SplitSeq(string(metrics), ",") {
+		name, number, _ := strings.Cut(pair, "=")
+		value, err := parseDecimal(number)
 		if err != nil {
 			return
 		}
 		if name == "used" {
-			if got.metered || value > mostUsed {
+			if parsed.metered || value > maxUsedPercent {
 				return
 			}
-			got.metered, got.used = true, value/100
+			parsed.metered, parsed.used = true, value/100
 		}
 		for i, field := range cfg.Choice.ReportFields {
-			if field == name && i < len(got.load.Values) {
-				if fields&(1<<i) != 0 || value > mostLoad {
+			if field == name && i < len(parsed.load.Values) {
+				if seen&(1<<i) != 0 || value > maxLoadValue {
 					return
 				}
-				fields |= 1 << i
-				got.load.Values[i] = value
+				seen |= 1 << i
+				parsed.load.Values[i] = value
 			}
 		}
 	}
-	if got.metered {
-		r.metered, r.used = true, got.used
+	if parsed.metered {
+		r.metered, r.used = true, parsed.used
 	}
-	if n := min(len(cfg.Choice.ReportFields), len(got.load.Values)); n > 0 && fields == 1<<n-1 {
-		got.load.N = n
-		r.load = got.load
+	if n := min(len(cfg.Choice.ReportFields), len(parsed.load.Values)); n > 0 && seen == 1<<n-1 {
+		parsed.load.N = n
+		r.load = parsed.load
 	}
 }
--- a/internal/ingress/conn_test.go
+++ b/internal/ingress/conn_test.go
@@ -66,7 +66,7 @@
 	}
 	for _, text := range []string{"$9223372036854775807\r\nxx\r\n", "*1\r\n", "*3\r\n$x", "*3\r\n$3000000000", "*3\r\n$70000\r\n",
 		"*3\r\n$1\r\nvv\r\n", "*3\r\n*1\r\n", "*-1\r\n", "*3\r\n$-2", "*3\r\n$1\r\nv\r\n$9999\r\n", "*3\r\n$1\r\nv\r\nx", "\x00", "noise",
-		"+OK\n", "-" + strings.Repeat("x", maxLine)} {
+		"+OK\n", "-" + strings.Repeat("x", maxLineBytes)} {
 		if _, _, err := cfg.nextReply([]byte(text)); err == nil {
 			t.Errorf("%.40q: no error", text)
 		}
--- a/internal/ingress/frame.go
+++ b/internal/ingress/frame.go
@@ -12,7 +12,7 @@
 
 const (
 	maxLengthDigits = 9
-	maxLine         = 1024 // bytes of an error line or a simple string
+	maxLineBytes    = 1024 // bytes of an error line or a simple string
 )
 
 var (
@@ -22,7 +22,7 @@
 )
 
 // length reads the line behind a type byte: digits alone, or -1 for a null.
-func length(buf []byte) (v, n int, err error) {
+func parseLength(buf []byte) (value, n int, err error) {
 	rest := buf[1:]
 	if bytes.HasPrefix(rest, nullLength) {
 		return -1, 1 + len(nullLength), nil
@@ -33,11 +33,11 @@
 	for i, ch := range rest {
 		switch {
 		case ch >= '0' && ch <= '9' && i < maxLengthDigits:
-			v = 10*v + int(ch-'0')
+			value = 10*value + int(ch-'0')
 		case ch == '\r' && i > 0 && i+1 == len(rest):
 			return 0, 0, nil
 		case ch == '\r' && i > 0 && rest[i+1] == '\n':
-			return v, 1 + i + 2, nil
+			return value, 1 + i + 2, nil
 		default:
 			return 0, 0, errMalformed
 		}
@@ -46,8 +46,8 @@
 }
 
 // bulk reads a bulk string of at most so many bytes.
-func bulk(buf []byte, most int) (data []byte, n int, err error) {
-	data, n, err = bulkOrNull(buf, most)
+func parseBulk(buf []byte, maxBytes int) (data []byte, n int, err error) {
+	data, n, err = parseBulkOrNull(buf, maxBytes)
 	if n > 0 && data == nil {
 		return nil, 0, errMalformed
 	}
@@ -55,24 +55,24 @@
 }
 
 // bulkOrNull reads a bulk string; a null has no data.
-func bulkOrNull(buf []byte, most int) (data []byte, n int, err error) {
+func parseBulkOrNull(buf []byte, maxBytes int) (data []byte, n int, err error) {
 	if len(buf) == 0 {
 		return nil, 0, nil
 	}
 	if buf[0] != '$' {
 		return nil, 0, errMalformed
 	}
-	size, at, err := length(buf)
-	if err != nil || at == 0 {
+	size, start, err := parseLength(buf)
+	if err != nil || start == 0 {
 		return nil, 0, err
 	}
 	if size < 0 {
-		return nil, at, nil
+		return nil, start, nil
 	}
-	if size > most || size > maxValue {
+	if size > maxBytes || size > maxValueBytes {
 		return nil, 0, errTooLong
 	}
-	end := at + size
+	end := start + size
 	for i, ch := range []byte("\r\n") {
 		if end+i >= len(buf) {
 			return nil, 0, nil
@@ -81,14 +81,14 @@
 			return nil, 0, errMalformed
 		}
 	}
-	return buf[at:end:end], end + 2, nil
+	return buf[start:end:end], end + 2, nil
 }
 
 // line reads the line behind a type byte.
-func line(buf []byte) (text []byte, n int, err error) {
-	end := bytes.IndexByte(buf[:min(len(buf), maxLine)], '\n')
+func parseLine(buf []byte) (text []byte, n int, err error) {
+	end := bytes.IndexByte(buf[:min(len(buf), maxLineBytes)], '\n')
 	switch {
-	case end < 0 && len(buf) >= maxLine:
+	case end < 0 && len(buf) >= maxLineBytes:
 		return nil, 0, errTooLong
 	case end < 0:
 		return nil, 0, nil
@@ -98,7 +98,7 @@
 	return buf[1 : end-1], end + 1, nil
 }
 
-func printable(text []byte) bool {
+func isPrintable(text []byte) bool {
 	for _, ch := range text {
 		if ch < ' ' || ch > '~' {
 			return false
--- a/internal/ingress/listen_test.go
+++ b/internal/ingress/listen_test.go
@@ -9,11 +9,11 @@
 )
 
 // failing makes the first calls fail with an error of the system.
-func failing(times int, with error) (config net.ListenConfig, calls *int) {
+func failingListenConfig(times int, failure error) (config net.ListenConfig, calls *int) {
 	calls = new(int)
 	config.Control = func(string, string, syscall.RawConn) error {
 		if *calls++; *calls <= times {
-			return with
+			return failure
 		}
 		return nil
 	}
@@ -21,9 +21,9 @@
 }
 
 // A socket that can't be had for a moment does not end the process.
-func TestListenOutlastsMomentaryErrors(t *testing.T) {
-	for _, err := range momentary {
-		config, calls := failing(2, err)
+func TestListenRetriesTransientErrors(t *testing.T) {
+	for _, err := range transientErrors {
+		config, calls := failingListenConfig(2, err)
 		ln, got := listen(config, "127.0.0.1:0", patience)
 		if got != nil || *calls != 3 {
 			t.Errorf("%v: after %d calls it ends with %v", err, *calls, got)
@@ -33,12 +33,12 @@
 	}
 }
 
-func TestListenGivesUp(t *testing.T) {
-	config, calls := failing(2, syscall.EACCES)
+func TestListenReturnsPermanentErrorsAndTimesOut(t *testing.T) {
+	config, calls := failingListenConfig(2, syscall.EACCES)
 	if _, err := listen(config, "127.0.0.1:0", patience); !errors.Is(err, syscall.EACCES) || *calls != 1 {
 		t.Errorf("an error that lasts: %d calls, %v", *calls, err)
 	}
-	config, _ = failing(1<<30, syscall.ENFILE)
+	config, _ = failingListenConfig(1<<30, syscall.ENFILE)
 	if _, err := listen(config, "127.0.0.1:0", time.Millisecond); !errors.Is(err, syscall.ENFILE) {
 		t.Errorf("with no time left it ends with %v", err)
 	}
--- a/internal/ingress/loop.go
+++ b/internal/ingress/loop.go
@@ -41,7 +41,7 @@
 	requests map[uint32]*request
 	lastID   uint32
 	ids      recentIDs
-	memory   *memory
+	memory   *memoryBudget
 	dates    startDates
 }
 
@@ -62,7 +62,7 @@
 func newLoop(cfg *Config) (*loop, error) {
 	l := &loop{
 		cfg: cfg, start: time.Now(), events: make(chan event, eventBuffer), done: make(chan struct{}),
-		requests: map[uint32]*request{}, memory: &memory{most: int64(cfg.Limits.MemoryMB) << 20 / heldShare},
+		requests: map[uint32]*request{}, memory: &memoryBudget{limit: int64(cfg.Limits.MemoryMB) << 20 / heldShare},
 	}
 	longest := time.Duration(0)
 	for _, c := range cfg.Choice.Classes {
@@ -117,16 +117,16 @@
 	r.id = l.lastID
 	l.requests[r.id] = r
 	now := l.now()
-	if !l.ids.add(r.name, now) {
+	if !l.ids.add(r.requestID, now) {
 		// The copy of another's open request: its value belongs to that one alone.
-		r.from.wrong.Add(1)
+		r.from.invalidCommands.Add(1)
 		l.over(r, "failed", "the id is in use", 0)
 		l.answer(r, redcon.AppendError(nil, "ERR the request id is in use"))
 		l.forget(r)
 		return
 	}
 	left := time.Until(r.deadline)
-	l.cfg.Log.Taken(eventlog.Taken{Request: r.name, Client: r.from.number, Class: r.class, Customer: r.customer, Left: left})
+	l.cfg.Log.Taken(eventlog.Taken{Request: r.requestID, Client: r.from.id, Class: r.class, Customer: r.customer, Left: left})
 	l.gateway.Request(now, choice.Request{
 		ID: r.id, Class: r.class, Plan: r.plan, Customer: r.customer, TimeLeft: left,
 		Units: r.units, Spread: r.spread, First: r.first, Repeat: r.repeat,
@@ -163,18 +163,18 @@
 func (l *loop) forget(r *request) {
 	if r.over && r.out == 0 && l.requests[r.id] == r {
 		delete(l.requests, r.id)
-		l.memory.give(r.size)
+		l.memory.release(r.size)
 	}
 }
 
 // gone ends the open requests of a client that has left.
 func (l *loop) gone(c *client) {
-	for _, r := range c.abandoned() {
+	for _, r := range c.dropPending() {
 		if !r.over {
 			l.over(r, "gone", "the client has left", 0)
 			l.end(r)
 			if len(r.attempts) == 0 {
-				l.ids.remove(r.name) // nothing was sent on: it may come again
+				l.ids.remove(r.requestID) // nothing was sent on: it may come again
 			}
 			l.gateway.Gone(l.now(), r.id)
 			l.forget(r)
@@ -199,7 +199,7 @@
 	r := a.request
 	r.out--
 	if l.cfg.Log.Detailed() {
-		l.cfg.Log.Ended(eventlog.Ended{Request: r.name, Attempt: a.number, Backend: a.to.name,
+		l.cfg.Log.Ended(eventlog.Ended{Request: r.requestID, Attempt: a.number, Backend: a.to.name,
 			Status: answer.status.String(), Elapsed: elapsed, Kept: c != nil && !a.fresh})
 	}
 	if answer.status == choice.OK {
@@ -216,7 +216,7 @@
 // over writes that a request has its final answer, if it had none.
 func (l *loop) over(r *request, end, reason string, after time.Duration) {
 	if r != nil && !r.over && l.cfg.Log.Detailed() {
-		l.cfg.Log.Answered(eventlog.Answered{Request: r.name, End: end, Reason: reason, After: after, Attempts: len(r.attempts)})
+		l.cfg.Log.Answered(eventlog.Answered{Request: r.requestID, End: end, Reason: reason, After: after, Attempts: len(r.attempts)})
 	}
 }
 
@@ -329,7 +329,7 @@
 	r.out++
 	l.pool.start(a, backend)
 	if l.cfg.Log.Detailed() {
-		l.cfg.Log.Sent(eventlog.Sent{Request: r.name, Attempt: a.number, Backend: a.to.name, Kind: r.kind(), Timeout: timeout})
+		l.cfg.Log.Sent(eventlog.Sent{Request: r.requestID, Attempt: a.number, Backend: a.to.name, Kind: r.kind(), Timeout: timeout})
 	}
 }
 
--- a/internal/ingress/pacer.go
+++ b/internal/ingress/pacer.go
@@ -8,18 +8,18 @@
 	workSlice = 500 * time.Microsecond
 	// workRest is how long it rests. A mere yield would not do: the runtime looks
 	// for what came on connections only when nobody wants to run.
-	workRest = 500 * time.Microsecond
+	workPause = 500 * time.Microsecond
 )
 
 // pacer divides long work, so that requests go on beside it.
-type pacer struct{ since time.Time }
+type pacer struct{ sliceStart time.Time }
 
-func newPacer() *pacer { return &pacer{since: time.Now()} }
+func newPacer() *pacer { return &pacer{sliceStart: time.Now()} }
 
 // pause is called between two parts of the work, and rests when a slice of it is done.
 func (p *pacer) pause() {
-	if time.Since(p.since) > workSlice {
-		time.Sleep(workRest)
-		p.since = time.Now()
+	if time.Since(p.sliceStart) > workSlice {
+		time.Sleep(workPause)
+		p.sliceStart = time.Now()
 	}
 }
--- a/internal/ingress/server.go
+++ b/internal/ingress/server.go
@@ -47,7 +47,7 @@
 	if err != nil {
 		return nil, err
 	}
-	ln, err := listen(net.ListenConfig{}, cfg.Listen, listenWithin)
+	ln, err := listen(net.ListenConfig{}, cfg.Listen, listenTimeout)
 	if err != nil {
 		return nil, fmt.Errorf("clients: %w", err)
 	}
@@ -136,10 +136,10 @@
 		return true
 	}
 	var least *client
-	var rank standing
+	var rank evictionRank
 	now := time.Now()
 	for c := range s.clients {
-		if r, closable := c.standing(now); closable && (least == nil || r.before(rank)) {
+		if r, closable := c.evictionRank(now); closable && (least == nil || r.before(rank)) {
 			least, rank = c, r
 		}
 	}
@@ -158,9 +158,9 @@
 	c := newClient(s, nc)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	c.drained, c.final = s.draining, s.final // closes after its first answer
+	c.draining, c.readingStopped = s.draining, s.final // closes after its first answer
 	s.clients[c] = struct{}{}
-	go c.read()
+	go c.serve()
 }
 
 // stays tells that a connection that was to make room is in use after all.
--- a/internal/ingress/shutdown_test.go
+++ b/internal/ingress/shutdown_test.go
@@ -99,7 +99,7 @@
 }
 
 // many is so many requests that some are read and held back.
-const many = 2 * mostPending
+const many = 2 * maxPipelinedCommands
 
 func askMany(c *fakeClient) {
 	var text strings.Builder
@@ -203,11 +203,11 @@
 			r.eventually("the request to be taken", func(l *loop) bool { return l.lastID > 0 })
 		}
 	}
-	r.someClient("the connection to be accepted", func(*client) bool { return true })
+	r.waitForAnyClient("the connection to be accepted", func(*client) bool { return true })
 	phases := r.holdPhases()
 	step(state.before)
 	r.stop()
-	r.clientsAre("the stop to have begun", func(c *client) bool { return c.drained })
+	r.clientsAre("the stop to have begun", func(c *client) bool { return c.draining })
 	close(phases[accepting])
 	r.eventually("the listener to be closed", func(*loop) bool {
 		r.server.mu.Lock()
@@ -276,29 +276,29 @@
 	r := newRig(t, nil, newBackend(t).member("b"))
 	b := newBench(t)
 	c := newClient(r.server, b.nc)
-	c.drained, c.halted, c.final = true, true, true
-	c.pending = make([]*slot, mostPending)
+	c.draining, c.firstCommandOnly, c.readingStopped = true, true, true
+	c.pending = make([]*slot, maxPipelinedCommands)
 	first, behind := encode("PING"), encode("PING")
 	fmt.Fprint(b.far, first)
 	r.eventually("the command to come", func(*loop) bool { return waiting(b.nc) })
 	taken := make(chan error, 1)
-	go func() { taken <- c.take() }()
+	go func() { taken <- c.readCommands() }()
 	isHeld := func() bool {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		return c.full
+		return c.pipelineFull
 	}
 	r.eventually("the command to be held", func(*loop) bool { return isHeld() })
 	fmt.Fprint(b.far, behind)
 	r.eventually("what is behind to come", func(*loop) bool { return waiting(b.nc) })
 	c.mu.Lock() // as the writer does
-	c.pending, c.full = nil, false
+	c.pending, c.pipelineFull = nil, false
 	c.mu.Unlock()
-	notify(c.space)
-	if err := wait(t, "the reader's end", taken); !errors.Is(err, errFinal) {
+	notify(c.slotFreed)
+	if err := wait(t, "the reader's end", taken); !errors.Is(err, errReadingStopped) {
 		t.Errorf("the reader ends with %v", err)
 	}
-	if got := unread(t, b.far, len("+PONG\r\n")); got != "+PONG\r\n" {
+	if got := readUnread(t, b.far, len("+PONG\r\n")); got != "+PONG\r\n" {
 		t.Errorf("the held command is answered %q", got)
 	}
 	if !waiting(b.nc) {
@@ -326,7 +326,7 @@
 		case info.Notsent_bytes > 0:
 			stuck++
 		case !sending:
-			c.reply(make([]byte, maxValue))
+			c.reply(make([]byte, maxValueBytes))
 			answers, stuck = answers+1, 0
 		}
 		return !sending && stuck > 10 // not for a moment only
@@ -334,15 +334,15 @@
 	fmt.Fprint(b.far, encode("PING")) // it crosses the end
 	over := make(chan struct{})
 	go func() {
-		c.finish()
+		c.flushAndLinger()
 		c.nc.Close()
 		close(over)
 	}()
 	select {
 	case <-over: // the connection is closed under its answer
-	case <-time.After(2 * lingerTime):
+	case <-time.After(2 * lingerTimeout):
 	}
-	got := make([]byte, answers*maxValue)
+	got := make([]byte, answers*maxValueBytes)
 	if n, err := io.ReadFull(b.far, got); err != nil {
 		t.Errorf("the client gets %d of %d bytes, %v", n, len(got), err)
 	}
@@ -359,8 +359,8 @@
 		time.Sleep(time.Millisecond)
 	}
 	c := newClient(r.server, b.nc)
-	c.drained, c.halted, c.final = true, true, true
-	go c.read()
+	c.draining, c.firstCommandOnly, c.readingStopped = true, true, true
+	go c.serve()
 	if got, err := io.ReadAll(b.far); string(got) != "+PONG\r\n" || err != nil {
 		t.Errorf("the client gets %q, %v", got, err)
 	}
