--- a/choice/admission.go
+++ b/choice/admission.go
@@ -19,7 +19,7 @@
 		return
 	}
 	if in.TimeLeft <= 0 {
-		g.act.Refuse(in.ID, g.advice, NoTime)
+		g.act.Refuse(in.ID, g.advice, DeadlinePassed)
 		return
 	}
 	r := &request{Request: in, deadline: now + in.TimeLeft}
@@ -45,7 +45,7 @@
 func (g *Gateway) admit(c *customer, r *request) Reason {
 	g.roll(c)
 	u := r.Units
-	surge := g.surge(c, r.Repeat)
+	surge := g.surge(c, r.ClientRetry)
 	if g.cfg.MeterPeriod <= 0 {
 		c.chance = g.counted(c, u)
 	}
@@ -57,11 +57,11 @@
 	}
 	against := Quota
 	if pressed {
-		chance, against = 0, Pressure
+		chance, against = 0, ConcurrencyLimit
 	} else if !g.ceilingHolds(c, u) {
 		chance, against = 0, Ceiling
-	} else if p.Open > 0 && float64(c.open) >= math.Ceil(float64(p.Open)/c.spread) {
-		chance, against = 0, OpenCap
+	} else if p.MaxInFlight > 0 && float64(c.open) >= math.Ceil(float64(p.MaxInFlight)/c.spread) {
+		chance, against = 0, InFlightCap
 	} else if p.Rate > 0 && g.share(c, c.spread, 0) >= u {
 		chance = 1
 	} else if p.Rate > 0 && g.now-c.storeAt < time.Duration(boundPeriods*float64(g.cfg.MeterPeriod)) {
@@ -108,7 +108,7 @@
 func (g *Gateway) surge(c *customer, repeat bool) float64 {
 	period, scale := max(g.cfg.MeterPeriod, g.slot), 1.0
 	if c.plan.Rate <= 0 { // readings are in caps: what a customer at its cap asks for in a period
-		scale = openPart * float64(c.plan.Open) * period.Seconds() / g.classes[0].mean
+		scale = openPart * float64(c.plan.MaxInFlight) * period.Seconds() / g.classes[0].mean
 	}
 	span := min(max(g.now-c.storeAt, period), slotsKept*g.slot)
 	asked := g.window(c, g.now-span, g.now+g.slot).offered
--- a/choice/attempts.go
+++ b/choice/attempts.go
@@ -13,11 +13,11 @@
 	left := r.deadline - g.now
 	switch {
 	case len(r.attempts) >= g.cfg.MaxAttempts:
-		return AttemptsSpent
+		return AttemptsExhausted
 	case left <= 0:
-		return NoTime
-	case r.out > 0 && !g.cfg.SecondCopies:
-		return CopyOut
+		return DeadlinePassed
+	case r.out > 0 && !g.cfg.Hedging:
+		return AttemptInFlight
 	}
 	b := g.pick(r)
 	if b == nil {
@@ -48,15 +48,15 @@
 	r.cust.open++
 	r.attempts = append(r.attempts, attempt{to: b, sent: g.now})
 	g.act.Send(r.ID, b.ID, left)
-	if g.cfg.Classes[r.Class].Effect != SingleShot && (g.cfg.SecondCopies || g.cfg.Cancelling) {
+	if g.cfg.Classes[r.Class].Effect != SingleShot && (g.cfg.Hedging || g.cfg.Cancelling) {
 		wait := hedgeAims * g.cfg.Classes[r.Class].Aim.Seconds()
-		g.act.After(seconds(wait), uint64(r.ID)<<8|uint64(len(r.attempts)&0xff))
+		g.act.SetTimer(seconds(wait), uint64(r.ID)<<8|uint64(len(r.attempts)&0xff))
 	}
 	return None
 }
 
-// Timer takes a timer that is due: the wait for an attempt, or for the end of the process.
-func (g *Gateway) Timer(now time.Duration, token uint64) {
+// TimerExpired takes a timer that is due: the wait for an attempt, or for the end of the process.
+func (g *Gateway) TimerExpired(now time.Duration, token uint64) {
 	g.step(now)
 	if token == stopToken {
 		g.answerAll()
@@ -72,7 +72,7 @@
 	if g.bank < 1 || float64(g.out) > g.room()*(1-windowSpare) && !g.silent(last.to) {
 		return
 	}
-	if g.cfg.SecondCopies {
+	if g.cfg.Hedging {
 		if g.send(r) == None {
 			g.bank--
 		}
@@ -101,7 +101,7 @@
 	}
 	a := &r.attempts[o.Attempt]
 	a.ended = true
-	a.unsent = o.Status == ConnectFailed || o.Status == Moot
+	a.unsent = o.Status == ConnectFailed || o.Status == CancelledBeforeSend
 	a.never = a.unsent || o.Status == Refused
 	a.to.out--
 	if g.fleet.has(a.to) {
@@ -115,7 +115,7 @@
 		g.metered(r.cust, o.Used)
 	}
 	g.learn(r, a, o)
-	r.over = r.over || o.Over
+	r.over = r.over || o.Answered
 	if r.over {
 		g.cancelRest(r)
 	} else if r.out == 0 {
@@ -158,7 +158,7 @@
 	if o.Status == OK {
 		a.to.kept++
 	}
-	if o.Status != Refused && o.Status != Cancelled && o.Status != Moot {
+	if o.Status != Refused && o.Status != Cancelled && o.Status != CancelledBeforeSend {
 		a.to.heard = g.now
 		g.keep(a.to)
 		g.judge(a.to, o.Status != OK, w)
@@ -184,7 +184,7 @@
 	cl := &g.cfg.Classes[r.Class]
 	var against Reason
 	switch {
-	case last == Moot:
+	case last == CancelledBeforeSend:
 		against = Abandoned
 	case g.bank < price:
 		against = RetryBudget
@@ -213,8 +213,8 @@
 	}
 }
 
-// Gone ends a request whose client has left.
-func (g *Gateway) Gone(now time.Duration, id uint32) {
+// ClientDisconnected ends a request whose client has left.
+func (g *Gateway) ClientDisconnected(now time.Duration, id uint32) {
 	g.step(now)
 	r := g.requests[id]
 	if r == nil {
--- a/choice/bench_test.go
+++ b/choice/bench_test.go
@@ -19,14 +19,14 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			g.Members(0, choice.Cached, backends(uint32(size.backends)))
+			g.UpdateBackends(0, choice.Cached, backends(uint32(size.backends)))
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
 				now := time.Duration(i) * 20 * ms
 				id := uint32(i + 1)
-				g.Request(now, choice.Request{ID: id, Customer: uint64(i % 200), Spread: size.gateways, Units: 1, TimeLeft: time.Second})
+				g.Request(now, choice.Request{ID: id, Customer: uint64(i % 200), SetSize: size.gateways, Units: 1, TimeLeft: time.Second})
 				if rec.id == id {
-					g.Outcome(now+10*ms, choice.Outcome{ID: id, Backend: rec.backend, Elapsed: 10 * ms, Over: true, Metered: true, Used: 0.5})
+					g.Outcome(now+10*ms, choice.Outcome{ID: id, Backend: rec.backend, Elapsed: 10 * ms, Answered: true, Metered: true, Used: 0.5})
 				}
 			}
 		})
@@ -41,4 +41,4 @@
 func (l *lastSend) Fail(uint32, choice.Reason)                  {}
 func (l *lastSend) Cancel(uint32, int)                          {}
 func (l *lastSend) Probe(uint32)                                {}
-func (l *lastSend) After(time.Duration, uint64)                 {}
+func (l *lastSend) SetTimer(time.Duration, uint64)              {}
--- a/choice/ceiling_test.go
+++ b/choice/ceiling_test.go
@@ -58,13 +58,13 @@
 	f.passed += units
 	f.use[f.now/f.cfg.MeterPeriod] += units
 	f.due = append(f.due, ceilingAnswer{f.now + time.Duration(50+f.rng.IntN(200))*ms, g, g.life,
-		choice.Outcome{ID: id, Backend: backend, Status: choice.OK, Over: true, Elapsed: 100 * ms}})
+		choice.Outcome{ID: id, Backend: backend, Status: choice.OK, Answered: true, Elapsed: 100 * ms}})
 }
 func (g *ceilingGate) Refuse(uint32, time.Duration, choice.Reason) {}
 func (g *ceilingGate) Fail(uint32, choice.Reason)                  {}
 func (g *ceilingGate) Cancel(uint32, int)                          {}
 func (g *ceilingGate) Probe(uint32)                                {}
-func (g *ceilingGate) After(time.Duration, uint64)                 {}
+func (g *ceilingGate) SetTimer(time.Duration, uint64)              {}
 
 func (g *ceilingGate) start(t *testing.T) {
 	t.Helper()
@@ -75,7 +75,7 @@
 	if g.g, err = choice.New(cfg, g.f.rng.Uint64(), g.f.now, g); err != nil {
 		t.Fatal(err)
 	}
-	g.g.Members(g.f.now, choice.Cached, backends(40))
+	g.g.UpdateBackends(g.f.now, choice.Cached, backends(40))
 }
 
 // kill ends so many gateways at once, and starts each again within a second.
@@ -165,7 +165,7 @@
 			id := f.nextID*uint32(f.cfg.MaxUnits) + uint32(f.rng.IntN(int(f.cfg.MaxUnits)))
 			units := float64(id%uint32(f.cfg.MaxUnits)) + 1
 			f.asked += units
-			f.gates[i].g.Request(f.now, choice.Request{ID: id, Customer: 1, Spread: n, Units: units, TimeLeft: 2 * time.Second})
+			f.gates[i].g.Request(f.now, choice.Request{ID: id, Customer: 1, SetSize: n, Units: units, TimeLeft: 2 * time.Second})
 		}
 	}
 }
@@ -252,7 +252,7 @@
 			for _, g := range f.gates {
 				f.nextID++ // of one unit
 				g.g.Request(f.now, choice.Request{ID: f.nextID * uint32(f.cfg.MaxUnits), Customer: 1,
-					Spread: len(f.gates), Units: 1, TimeLeft: 2 * time.Second})
+					SetSize: len(f.gates), Units: 1, TimeLeft: 2 * time.Second})
 			}
 		}
 		return f.passed - passed
@@ -280,7 +280,7 @@
 	id := uint32(0)
 	take := func(now time.Duration, units float64) bool {
 		id++
-		return ask(g, rec, now, choice.Request{ID: id, Customer: 1, Spread: gateways, Units: units}, 0)
+		return ask(g, rec, now, choice.Request{ID: id, Customer: 1, SetSize: gateways, Units: units}, 0)
 	}
 	if take(0, 1) {
 		t.Error("passed of a part that is empty")
@@ -318,7 +318,7 @@
 	id := uint32(0)
 	ask := func(now time.Duration) bool {
 		id++
-		g.Request(now, choice.Request{ID: id, Customer: 1, Spread: 2, Units: 1, TimeLeft: 9 * time.Second})
+		g.Request(now, choice.Request{ID: id, Customer: 1, SetSize: 2, Units: 1, TimeLeft: 9 * time.Second})
 		return len(rec.sent[id]) > 0
 	}
 	now := 20 * time.Second // the part of 4 is full
--- a/choice/choice.go
+++ b/choice/choice.go
@@ -163,7 +163,7 @@
 		return nil, err
 	}
 	g := &Gateway{
-		cfg: cfg, act: act, advice: cfg.Advice(), rng: rand.New(rand.NewPCG(seed, uint64(cfg.Self))),
+		cfg: cfg, act: act, advice: cfg.RetryAfterHint(), rng: rand.New(rand.NewPCG(seed, uint64(cfg.Self))),
 		now: now, born: now, forgot: now,
 		slot:      max(cfg.MeterPeriod, 100*time.Millisecond) / slotsPeriod,
 		customers: map[account]*customer{}, requests: map[uint32]*request{}, backends: map[uint32]*backend{},
@@ -185,6 +185,6 @@
 func many(gateways float64) float64 { return max(0, 1-fewGateways/gateways) }
 
 // free is how far overuse costs nothing under a plan, from 0 to 1.
-func (p *Plan) free() float64 { return 1 - min(1, max(0, p.OverCost)) }
+func (p *Plan) free() float64 { return 1 - min(1, max(0, p.OveruseCost)) }
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/choice/choice_test.go
+++ b/choice/choice_test.go
@@ -42,7 +42,7 @@
 func (r *recorder) Fail(id uint32, _ choice.Reason) { r.note("fail %d", id); r.failed[id] = true }
 func (r *recorder) Cancel(id uint32, attempt int)   { r.note("cancel %d/%d", id, attempt) }
 func (r *recorder) Probe(b uint32)                  { r.note("probe %d", b); r.probed = append(r.probed, b) }
-func (r *recorder) After(wait time.Duration, token uint64) {
+func (r *recorder) SetTimer(wait time.Duration, token uint64) {
 	r.note("after %v token %d", wait, token)
 }
 
@@ -50,9 +50,9 @@
 func plain() choice.Config {
 	return choice.Config{
 		Gateways: 4, MeterPeriod: 500 * ms, MaxUnits: 1, MaxAttempts: 3,
-		Classes:  []choice.Class{{Aim: 400 * ms, Deadline: 2 * time.Second, Worth: 1}},
-		Plans:    []choice.Plan{{Rate: 10, Burst: 24, Price: 1, OverCost: 1}},
-		ColdFrom: 0.2, ColdFor: 10 * time.Second, FallMultiple: 3, FallFor: 2 * time.Second,
+		Classes:         []choice.Class{{Aim: 400 * ms, Deadline: 2 * time.Second, Worth: 1}},
+		Plans:           []choice.Plan{{Rate: 10, Burst: 24, Price: 1, OveruseCost: 1}},
+		InitialCapacity: 0.2, WarmUpPeriod: 10 * time.Second, ColdOverloadFactor: 3, ColdOverloadPeriod: 2 * time.Second,
 	}
 }
 
@@ -70,7 +70,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	g.Members(0, choice.Cached, list)
+	g.UpdateBackends(0, choice.Cached, list)
 	return g, rec
 }
 
@@ -87,7 +87,7 @@
 	if len(to) == 0 {
 		return false
 	}
-	g.Outcome(now, choice.Outcome{ID: r.ID, Backend: to[0], Status: choice.OK, Elapsed: 10 * ms, Over: true,
+	g.Outcome(now, choice.Outcome{ID: r.ID, Backend: to[0], Status: choice.OK, Elapsed: 10 * ms, Answered: true,
 		Metered: used >= 0, Used: max(used, 0)})
 	return true
 }
@@ -122,7 +122,7 @@
 		g, rec := open(t, plain(), backends(4))
 		passed := 0
 		for i := range uint32(200) {
-			if ask(g, rec, 0, choice.Request{ID: i + 1, Customer: 1, Spread: spread}, -1) {
+			if ask(g, rec, 0, choice.Request{ID: i + 1, Customer: 1, SetSize: spread}, -1) {
 				passed++
 			}
 		}
@@ -164,7 +164,7 @@
 			if late {
 				asked++
 			}
-			if ask(gs[gate], recs[gate], now, choice.Request{ID: id, Customer: 1, Spread: gates}, reading) {
+			if ask(gs[gate], recs[gate], now, choice.Request{ID: id, Customer: 1, SetSize: gates}, reading) {
 				used[now/cfg.MeterPeriod]++
 				if late {
 					passed++
@@ -209,12 +209,12 @@
 	id := uint32(0)
 	for now := time.Duration(0); now < 3*time.Second; now += 20 * ms {
 		id++
-		ask(g, rec, now, choice.Request{ID: id, Customer: 1, Spread: 2}, 9)
+		ask(g, rec, now, choice.Request{ID: id, Customer: 1, SetSize: 2}, 9)
 	}
 	passed := 0
 	for now := 3 * time.Second; now < 9*time.Second; now += 250 * ms {
 		id++
-		if ask(g, rec, now, choice.Request{ID: id, Customer: 1, Spread: 2}, 0.2) {
+		if ask(g, rec, now, choice.Request{ID: id, Customer: 1, SetSize: 2}, 0.2) {
 			passed++
 		}
 	}
@@ -230,7 +230,7 @@
 	id, refused := uint32(0), 0
 	for now := time.Duration(0); now < 20*time.Second; now += 125 * ms { // 8 a second, under the quota of 10
 		id++
-		if !ask(g, rec, now, choice.Request{ID: id, Customer: 1, Spread: 1}, 0.8) {
+		if !ask(g, rec, now, choice.Request{ID: id, Customer: 1, SetSize: 1}, 0.8) {
 			refused++
 		}
 	}
@@ -246,7 +246,7 @@
 	id, refused := uint32(0), 0
 	for now := time.Duration(0); now < 40*time.Second; now += 500 * ms { // 2 a second, of an even part of 2.5
 		id++
-		if !ask(g, rec, now, choice.Request{ID: id, Customer: 1, Spread: 4}, -1) {
+		if !ask(g, rec, now, choice.Request{ID: id, Customer: 1, SetSize: 4}, -1) {
 			refused++
 		}
 	}
@@ -262,12 +262,12 @@
 	id := uint32(0)
 	for now := time.Duration(0); now < 10*time.Second; now += 400 * ms {
 		id++
-		ask(g, rec, now, choice.Request{ID: id, Customer: 1, Spread: 3}, 0.75)
+		ask(g, rec, now, choice.Request{ID: id, Customer: 1, SetSize: 3}, 0.75)
 	}
 	passed := 0
 	for now := 10 * time.Second; now < 11*time.Second; now += 5 * ms { // 200 a second
 		id++
-		if ask(g, rec, now, choice.Request{ID: id, Customer: 1, Spread: 3}, 0.75) {
+		if ask(g, rec, now, choice.Request{ID: id, Customer: 1, SetSize: 3}, 0.75) {
 			passed++
 		}
 	}
@@ -278,10 +278,10 @@
 
 func TestOpenCapIsHeldLocally(t *testing.T) {
 	cfg := plain()
-	cfg.Plans = []choice.Plan{{Open: 4, Price: 1}}
+	cfg.Plans = []choice.Plan{{MaxInFlight: 4, Price: 1}}
 	g, rec := open(t, cfg, backends(4))
 	for i := range uint32(6) {
-		g.Request(0, choice.Request{ID: i + 1, Customer: 1, Spread: 2, Units: 1, TimeLeft: time.Second})
+		g.Request(0, choice.Request{ID: i + 1, Customer: 1, SetSize: 2, Units: 1, TimeLeft: time.Second})
 	}
 	if len(rec.sent) != 2 || len(rec.refused) != 4 {
 		t.Errorf("%d sent and %d refused, want the even part of 2 and 4", len(rec.sent), len(rec.refused))
@@ -294,10 +294,10 @@
 	cfg := plain()
 	cfg.Plans[0].CeilingRate, cfg.Plans[0].CeilingBurst = 20, 48
 	g, rec := open(t, cfg, backends(4))
-	if ask(g, rec, 0, choice.Request{ID: 1, Customer: 1, Spread: 2}, -1) {
+	if ask(g, rec, 0, choice.Request{ID: 1, Customer: 1, SetSize: 2}, -1) {
 		t.Error("passed from a part that is empty")
 	}
-	if !ask(g, rec, 200*ms, choice.Request{ID: 2, Customer: 1, Spread: 2}, -1) {
+	if !ask(g, rec, 200*ms, choice.Request{ID: 2, Customer: 1, SetSize: 2}, -1) {
 		t.Error("refused with two units filled")
 	}
 }
@@ -316,9 +316,9 @@
 	}
 	g.Outcome(0, choice.Outcome{ID: 99})
 	g.Outcome(0, choice.Outcome{ID: 1, Attempt: 7})
-	g.Gone(0, 99)
-	g.Timer(0, 1<<40)
-	g.Probed(0, choice.Probe{Backend: 99})
+	g.ClientDisconnected(0, 99)
+	g.TimerExpired(0, 1<<40)
+	g.ProbeResult(0, choice.ProbeResult{Backend: 99})
 	if len(rec.sent) != 0 {
 		t.Errorf("sent %v for events that name nothing known", rec.sent)
 	}
@@ -326,7 +326,7 @@
 
 func TestNoBackendMeansARefusal(t *testing.T) {
 	g, rec := open(t, plain(), nil)
-	ask(g, rec, 0, choice.Request{ID: 1, Customer: 1, Spread: 1}, -1)
+	ask(g, rec, 0, choice.Request{ID: 1, Customer: 1, SetSize: 1}, -1)
 	if !rec.refused[1] {
 		t.Error("held with no backend to send to")
 	}
@@ -339,13 +339,13 @@
 	toBad := 0
 	for i := range uint32(600) {
 		now, id := time.Duration(i)*10*ms, i+1
-		g.Request(now, choice.Request{ID: id, Customer: uint64(i % 300), Spread: 1, Units: 1, TimeLeft: time.Second})
+		g.Request(now, choice.Request{ID: id, Customer: uint64(i % 300), SetSize: 1, Units: 1, TimeLeft: time.Second})
 		st := choice.OK
 		if b := rec.sent[id][0]; b == 3 {
 			st = choice.Error
 			toBad++
 		}
-		g.Outcome(now, choice.Outcome{ID: id, Backend: rec.sent[id][0], Status: st, Elapsed: 5 * ms, Over: true})
+		g.Outcome(now, choice.Outcome{ID: id, Backend: rec.sent[id][0], Status: st, Elapsed: 5 * ms, Answered: true})
 	}
 	if toBad > 30 {
 		t.Errorf("%d of 600 went to the backend that fails all, want 30 at most", toBad)
@@ -359,9 +359,9 @@
 	late := 0
 	for i := range uint32(300) {
 		now, id := time.Duration(i)*10*ms, i+1
-		g.Request(now, choice.Request{ID: id, Customer: uint64(i), Spread: 1, Units: 1, TimeLeft: 20 * time.Second})
+		g.Request(now, choice.Request{ID: id, Customer: uint64(i), SetSize: 1, Units: 1, TimeLeft: 20 * time.Second})
 		if b := rec.sent[id][0]; b != 2 {
-			g.Outcome(now, choice.Outcome{ID: id, Backend: b, Status: choice.OK, Elapsed: 5 * ms, Over: true})
+			g.Outcome(now, choice.Outcome{ID: id, Backend: b, Status: choice.OK, Elapsed: 5 * ms, Answered: true})
 		} else if now > time.Second {
 			late++
 		}
@@ -373,10 +373,10 @@
 
 func TestColdBackendGetsALittleAtATime(t *testing.T) {
 	g, rec := open(t, plain(), backends(3))
-	g.Members(0, choice.Delta, []choice.Backend{{ID: 9, Weight: 1, Dated: true, Started: 1}})
+	g.UpdateBackends(0, choice.Delta, []choice.Backend{{ID: 9, Weight: 1, StartKnown: true, Started: 1}})
 	out := 0
 	for i := range uint32(20) {
-		g.Request(2, choice.Request{ID: i + 1, Customer: uint64(i), Spread: 1, Units: 1, TimeLeft: time.Second})
+		g.Request(2, choice.Request{ID: i + 1, Customer: uint64(i), SetSize: 1, Units: 1, TimeLeft: time.Second})
 		if slices.Contains(rec.sent[i+1], 9) {
 			out++
 		}
@@ -393,7 +393,7 @@
 	held := []uint32{}
 	for now := time.Duration(0); now < 8*time.Second; now += 10 * ms {
 		id++
-		g.Request(now, choice.Request{ID: id, Customer: uint64(id), Spread: 1, Units: 1, TimeLeft: 9 * time.Second})
+		g.Request(now, choice.Request{ID: id, Customer: uint64(id), SetSize: 1, Units: 1, TimeLeft: 9 * time.Second})
 		if len(rec.sent[id]) > 0 {
 			held = append(held, id)
 		}
@@ -402,7 +402,7 @@
 		}
 		if len(held) > 0 && now%(50*ms) == 0 {
 			g.Outcome(now, choice.Outcome{ID: held[0], Backend: rec.sent[held[0]][0], Status: choice.OK,
-				Elapsed: 800 * ms, Over: true})
+				Elapsed: 800 * ms, Answered: true})
 			held = held[1:]
 		}
 	}
@@ -424,7 +424,7 @@
 		{1, choice.Error, false, true}, {1, choice.Timeout, false, true}, {1, choice.Reset, false, true},
 	} {
 		g, rec := open(t, cfg, backends(4))
-		g.Request(0, choice.Request{ID: 1, Class: c.class, Customer: 1, Spread: 1, Units: 1, TimeLeft: time.Second})
+		g.Request(0, choice.Request{ID: 1, Class: c.class, Customer: 1, SetSize: 1, Units: 1, TimeLeft: time.Second})
 		g.Outcome(10*ms, choice.Outcome{ID: 1, Backend: rec.sent[1][0], Status: c.status, Elapsed: 10 * ms})
 		if again := len(rec.sent[1]) == 2; again != c.again || rec.failed[1] != c.failed {
 			t.Errorf("class %d after %d: sent again %v, failed %v", c.class, c.status, again, rec.failed[1])
@@ -438,13 +438,13 @@
 func TestSameEventsGiveTheSameActions(t *testing.T) {
 	play := func() []string {
 		cfg := plain()
-		cfg.Probing, cfg.ReportFields, cfg.SecondCopies = true, []string{"inflight"}, true
+		cfg.Probing, cfg.ReportFields, cfg.Hedging = true, []string{"inflight"}, true
 		g, rec := open(t, cfg, backends(5))
 		for i := range uint32(800) {
 			now := time.Duration(i) * 4 * ms
-			ask(g, rec, now, choice.Request{ID: i + 1, Customer: uint64(i % 7), Spread: 3}, float64(i%5)/2)
+			ask(g, rec, now, choice.Request{ID: i + 1, Customer: uint64(i % 7), SetSize: 3}, float64(i%5)/2)
 			if i%50 == 0 {
-				g.Timer(now, 0)
+				g.TimerExpired(now, 0)
 			}
 		}
 		return rec.log
@@ -458,11 +458,11 @@
 // the quota, must not read the empty history as if all had been.
 func TestFirstReadingKeepsTheChance(t *testing.T) {
 	cfg := plain()
-	cfg.Plans = []choice.Plan{{Open: 8, Price: 1}}
+	cfg.Plans = []choice.Plan{{MaxInFlight: 8, Price: 1}}
 	g, rec := open(t, cfg, backends(4))
 	passed := 0
 	for i := range uint32(40) {
-		if ask(g, rec, time.Duration(i)*10*ms, choice.Request{ID: i + 1, Customer: 1, Spread: 1}, 1) {
+		if ask(g, rec, time.Duration(i)*10*ms, choice.Request{ID: i + 1, Customer: 1, SetSize: 1}, 1) {
 			passed++
 		}
 	}
@@ -477,12 +477,12 @@
 	g, rec := open(t, plain(), backends(8))
 	for i := range uint32(30) {
 		now, id := time.Duration(i)*20*ms, i+1
-		g.Request(now, choice.Request{ID: id, Customer: uint64(i), Spread: 1, Units: 1, TimeLeft: time.Second})
+		g.Request(now, choice.Request{ID: id, Customer: uint64(i), SetSize: 1, Units: 1, TimeLeft: time.Second})
 		g.Outcome(now, choice.Outcome{ID: id, Backend: rec.sent[id][0], Status: choice.ConnectFailed})
 		if len(rec.sent[id]) != 2 {
 			t.Fatalf("request %d was sent %d times, want a second", id, len(rec.sent[id]))
 		}
-		g.Outcome(now, choice.Outcome{ID: id, Attempt: 1, Backend: rec.sent[id][1], Status: choice.OK, Elapsed: 5 * ms, Over: true})
+		g.Outcome(now, choice.Outcome{ID: id, Attempt: 1, Backend: rec.sent[id][1], Status: choice.OK, Elapsed: 5 * ms, Answered: true})
 	}
 }
 
@@ -495,7 +495,7 @@
 	take := func() (n int) {
 		for range 60 {
 			id++
-			if ask(g, rec, now, choice.Request{ID: id, Customer: 1, Spread: 1}, -1) {
+			if ask(g, rec, now, choice.Request{ID: id, Customer: 1, SetSize: 1}, -1) {
 				n++
 			}
 		}
@@ -505,7 +505,7 @@
 		t.Fatalf("%d passed of a full part, want 40", first)
 	}
 	now += 40 * time.Second
-	ask(g, rec, now, choice.Request{ID: 9999, Customer: 2, Spread: 1}, -1)
+	ask(g, rec, now, choice.Request{ID: 9999, Customer: 2, SetSize: 1}, -1)
 	if again := take(); again > 20 {
 		t.Errorf("%d passed 40 s later, want the 20 that have filled", again)
 	}
@@ -520,8 +520,8 @@
 	g, rec := open(t, cfg, backends(4))
 	now, passed := 200*time.Second, 0 // the ceiling's part of 40 has filled
 	for id := range uint32(60) {
-		ask(g, rec, now, choice.Request{ID: 1000 + id, Customer: 1, Plan: 1, Spread: 1}, -1)
-		if ask(g, rec, now, choice.Request{ID: id, Customer: 1, Spread: 1}, -1) {
+		ask(g, rec, now, choice.Request{ID: 1000 + id, Customer: 1, Plan: 1, SetSize: 1}, -1)
+		if ask(g, rec, now, choice.Request{ID: id, Customer: 1, SetSize: 1}, -1) {
 			passed++
 		}
 	}
@@ -546,10 +546,10 @@
 		{80, 60, 0, 20, 26}, // which the busy one of eighty needs more than once
 	} {
 		cfg := plain()
-		cfg.Gateways, cfg.Plans[0].OverCost = tier.gateways, tier.overCost
+		cfg.Gateways, cfg.Plans[0].OveruseCost = tier.gateways, tier.overCost
 		g, rec := open(t, cfg, backends(tier.backends))
 		for i := range uint32(100) {
-			g.Request(0, choice.Request{ID: i + 1, Customer: uint64(i), Spread: 1, Units: 1, TimeLeft: time.Second})
+			g.Request(0, choice.Request{ID: i + 1, Customer: uint64(i), SetSize: 1, Units: 1, TimeLeft: time.Second})
 		}
 		if n := len(rec.sent); n < tier.least || n > tier.most {
 			t.Errorf("%d let out by one of %d gateways to %d backends, overuse at %v, want %d to %d",
@@ -565,7 +565,7 @@
 	cfg.Gateways, cfg.Probing, cfg.ReportFields = 400, true, []string{"inflight"}
 	g, rec := open(t, cfg, backends(87))
 	for i := range uint32(100) {
-		ask(g, rec, time.Duration(i)*200*ms, choice.Request{ID: i + 1, Customer: uint64(i), Spread: 1}, -1)
+		ask(g, rec, time.Duration(i)*200*ms, choice.Request{ID: i + 1, Customer: uint64(i), SetSize: 1}, -1)
 	}
 	if n := len(rec.probed); n < 20 || n > 40 {
 		t.Errorf("%d probes for 100 requests, want about 30", n)
@@ -592,7 +592,7 @@
 	for self := range cfg.Gateways {
 		cfg.Self = self
 		g, rec := open(t, cfg, list)
-		ask(g, rec, 0, choice.Request{ID: 1, Customer: 1, Spread: 1}, -1)
+		ask(g, rec, 0, choice.Request{ID: 1, Customer: 1, SetSize: 1}, -1)
 		if to := rec.sent[1]; len(to) > 0 { // the window lets out a part of an attempt, by chance
 			first[to[0]]++
 			sent++
@@ -611,16 +611,16 @@
 // A backend that is gone with nothing out is forgotten.
 func TestGoneBackendIsForgotten(t *testing.T) {
 	g, rec := open(t, plain(), backends(2))
-	g.Members(time.Second, choice.Full, backends(1))
+	g.UpdateBackends(time.Second, choice.Full, backends(1))
 	for i := range uint32(20) {
-		ask(g, rec, 2*time.Second, choice.Request{ID: i + 1, Customer: uint64(i), Spread: 1}, -1)
+		ask(g, rec, 2*time.Second, choice.Request{ID: i + 1, Customer: uint64(i), SetSize: 1}, -1)
 	}
 	for id, to := range rec.sent {
 		if slices.Contains(to, 2) {
 			t.Errorf("request %d went to the backend that is gone", id)
 		}
 	}
-	if n := choice.Known(g); n != 1 {
+	if n := choice.KnownBackends(g); n != 1 {
 		t.Errorf("%d backends are kept, want 1", n)
 	}
 }
@@ -634,7 +634,7 @@
 	for _, repeat := range []bool{false, true} {
 		g, rec := open(t, cfg, backends(400))
 		for i := range uint32(200) {
-			if ask(g, rec, 0, choice.Request{ID: i + 1, Customer: uint64(i), Spread: 40, Repeat: repeat}, -1) {
+			if ask(g, rec, 0, choice.Request{ID: i + 1, Customer: uint64(i), SetSize: 40, ClientRetry: repeat}, -1) {
 				passed[repeat]++
 			}
 		}
@@ -649,7 +649,7 @@
 func TestSingleRequestIsNoSurge(t *testing.T) {
 	cfg := plain()
 	cfg.Gateways, cfg.MaxUnits, cfg.MeterPeriod = 60, 2, time.Second
-	cfg.Plans[0].Rate, cfg.Plans[0].Burst, cfg.Plans[0].OverCost = 4, 17, 0
+	cfg.Plans[0].Rate, cfg.Plans[0].Burst, cfg.Plans[0].OveruseCost = 4, 17, 0
 	passed, second := 0, 0
 	for seed := range uint64(100) {
 		rec := record()
@@ -657,9 +657,9 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		g.Members(0, choice.Cached, backends(60))
+		g.UpdateBackends(0, choice.Cached, backends(60))
 		for i, now := range []time.Duration{0, 4 * time.Second, 4300 * ms} { // use at 8 in 10 of the quota
-			ok := ask(g, rec, now, choice.Request{ID: uint32(i + 1), Customer: 1, Spread: 60, Units: 2}, 0.8)
+			ok := ask(g, rec, now, choice.Request{ID: uint32(i + 1), Customer: 1, SetSize: 60, Units: 2}, 0.8)
 			if i == 2 {
 				second++
 				if ok {
@@ -679,16 +679,16 @@
 	pass := func(gateways int, used float64) (passed int) {
 		cfg := plain()
 		cfg.Gateways, cfg.MaxUnits, cfg.MeterPeriod = gateways, 2, time.Second
-		cfg.Plans[0].Rate, cfg.Plans[0].Burst, cfg.Plans[0].OverCost = 4, 17, 0
+		cfg.Plans[0].Rate, cfg.Plans[0].Burst, cfg.Plans[0].OveruseCost = 4, 17, 0
 		for seed := range uint64(200) {
 			rec := record()
 			g, err := choice.New(cfg, seed, 0, rec)
 			if err != nil {
 				t.Fatal(err)
 			}
-			g.Members(0, choice.Cached, backends(60))
-			ask(g, rec, 0, choice.Request{ID: 1, Customer: 1, Spread: gateways, Units: 2}, used)
-			if ask(g, rec, 8*time.Second, choice.Request{ID: 2, Customer: 1, Spread: gateways, Units: 2}, used) {
+			g.UpdateBackends(0, choice.Cached, backends(60))
+			ask(g, rec, 0, choice.Request{ID: 1, Customer: 1, SetSize: gateways, Units: 2}, used)
+			if ask(g, rec, 8*time.Second, choice.Request{ID: 2, Customer: 1, SetSize: gateways, Units: 2}, used) {
 				passed++
 			}
 		}
@@ -710,7 +710,7 @@
 	passed := 0
 	g, rec := open(t, cfg, backends(1000))
 	for i := range uint32(100) {
-		if ask(g, rec, time.Duration(i)*10*ms, choice.Request{ID: i + 1, Customer: 1, Spread: 100}, -1) {
+		if ask(g, rec, time.Duration(i)*10*ms, choice.Request{ID: i + 1, Customer: 1, SetSize: 100}, -1) {
 			passed++
 		}
 	}
@@ -736,7 +736,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			g.Members(0, choice.Cached, backends(20))
+			g.UpdateBackends(0, choice.Cached, backends(20))
 			now, id := time.Duration(0), uint32(0)
 			for {
 				now += time.Duration(rng.ExpFloat64() * float64(set) / (rate * use) * float64(time.Second))
@@ -744,7 +744,7 @@
 					break
 				}
 				id++
-				went := ask(g, rec, now, choice.Request{ID: id, Customer: 1, Spread: set}, -1)
+				went := ask(g, rec, now, choice.Request{ID: id, Customer: 1, SetSize: set}, -1)
 				if now > warm {
 					asked++
 					if went {
@@ -774,10 +774,10 @@
 		id := uint32(1)
 		for i := range 3 {
 			now := time.Duration(i) * 600 * ms
-			ask(g, rec, now, choice.Request{ID: id, Customer: customer, Spread: 100}, 1.5)
+			ask(g, rec, now, choice.Request{ID: id, Customer: customer, SetSize: 100}, 1.5)
 			id++
 		}
-		if ask(g, rec, 30*time.Second, choice.Request{ID: id, Customer: customer, Spread: 100}, 0.2) {
+		if ask(g, rec, 30*time.Second, choice.Request{ID: id, Customer: customer, SetSize: 100}, 0.2) {
 			passed++
 		}
 	}
@@ -794,10 +794,10 @@
 			g, rec := open(t, plain(), backends(8))
 			for id := uint32(1); id < 100; id++ {
 				now := time.Duration(id) * 50 * ms
-				r := choice.Request{ID: id, Customer: 1, Spread: 4, Units: 1, TimeLeft: time.Second}
+				r := choice.Request{ID: id, Customer: 1, SetSize: 4, Units: 1, TimeLeft: time.Second}
 				g.Request(now, r)
 				if to := rec.sent[id]; len(to) > 0 {
-					o := choice.Outcome{ID: id, Backend: to[0], Elapsed: 10 * ms, Over: true, Metered: true, Used: 1.2}
+					o := choice.Outcome{ID: id, Backend: to[0], Elapsed: 10 * ms, Answered: true, Metered: true, Used: 1.2}
 					if id%5 == 0 {
 						o.Metered, o.Used = i == 0, bad
 					}
@@ -805,7 +805,7 @@
 				}
 			}
 			logs[i] = rec.log
-			g.Request(6*time.Second, choice.Request{ID: 1000, Spread: 1, Units: bad, TimeLeft: time.Second})
+			g.Request(6*time.Second, choice.Request{ID: 1000, SetSize: 1, Units: bad, TimeLeft: time.Second})
 			if !rec.refused[1000] {
 				t.Errorf("a request of %v units was not refused at once", bad)
 			}
@@ -821,16 +821,16 @@
 func TestPicksPreferKeptConnections(t *testing.T) {
 	reached := func(cost float64, gap time.Duration) int {
 		cfg := plain()
-		cfg.Gateways, cfg.HandshakeCost, cfg.ConnIdle = 80, cost, 10*time.Second
+		cfg.Gateways, cfg.HandshakeCost, cfg.ConnIdleTimeout = 80, cost, 10*time.Second
 		g, rec := open(t, cfg, backends(60))
 		to := map[uint32]bool{}
 		for i := range uint32(60) {
 			now := time.Duration(i) * gap
-			g.Request(now, choice.Request{ID: i + 1, Customer: uint64(i), Spread: 1, Units: 1, TimeLeft: time.Second})
+			g.Request(now, choice.Request{ID: i + 1, Customer: uint64(i), SetSize: 1, Units: 1, TimeLeft: time.Second})
 			for _, b := range rec.sent[i+1] {
 				to[b] = true
 				// As slow as is taken for usual at the start, so that latency speaks for no backend.
-				g.Outcome(now, choice.Outcome{ID: i + 1, Backend: b, Status: choice.OK, Elapsed: 100 * ms, Over: true})
+				g.Outcome(now, choice.Outcome{ID: i + 1, Backend: b, Status: choice.OK, Elapsed: 100 * ms, Answered: true})
 			}
 		}
 		return len(to)
@@ -847,26 +847,26 @@
 // Neither a repeat nor a second copy begins for a client that has gone, however
 // what was out for it ends.
 func TestNothingMoreIsSentForAClientThatLeft(t *testing.T) {
-	for _, end := range []choice.Status{choice.Error, choice.Refused, choice.Timeout, choice.ConnectFailed, choice.Reset, choice.Cancelled, choice.Moot} {
+	for _, end := range []choice.Status{choice.Error, choice.Refused, choice.Timeout, choice.ConnectFailed, choice.Reset, choice.Cancelled, choice.CancelledBeforeSend} {
 		for _, left := range []bool{false, true} {
 			cfg := plain()
-			cfg.SecondCopies = true
+			cfg.Hedging = true
 			g, rec := open(t, cfg, backends(4))
 			for id := uint32(1); id <= 2; id++ {
-				g.Request(0, choice.Request{ID: id, Customer: 1, Spread: 1, Units: 1, TimeLeft: 2 * time.Second})
+				g.Request(0, choice.Request{ID: id, Customer: 1, SetSize: 1, Units: 1, TimeLeft: 2 * time.Second})
 			}
 			if left {
-				g.Gone(ms, 1)
-				g.Gone(ms, 2)
+				g.ClientDisconnected(ms, 1)
+				g.ClientDisconnected(ms, 2)
 			}
 			// The first is due for a second copy, the attempt of the other ends.
-			g.Timer(300*ms, 1<<8|1)
-			g.Outcome(300*ms, choice.Outcome{ID: 2, Backend: rec.sent[2][0], Status: end, Over: left})
+			g.TimerExpired(300*ms, 1<<8|1)
+			g.Outcome(300*ms, choice.Outcome{ID: 2, Backend: rec.sent[2][0], Status: end, Answered: left})
 			copies, repeats := len(rec.sent[1])-1, len(rec.sent[2])-1
 			if left && (copies > 0 || repeats > 0) {
 				t.Errorf("status %d: %d second copies and %d repeats for clients that are gone", end, copies, repeats)
 			}
-			if wanted := end != choice.Moot; !left && (copies != 1 || (repeats == 1) != wanted) {
+			if wanted := end != choice.CancelledBeforeSend; !left && (copies != 1 || (repeats == 1) != wanted) {
 				t.Errorf("status %d: %d second copies and %d repeats for clients that wait", end, copies, repeats)
 			}
 		}
@@ -882,7 +882,7 @@
 		least, most int
 	}{{0, customers / 6, customers / 2}, {0.5, customers / 12, customers / 4}, {1, 0, 0}} {
 		cfg := plain()
-		cfg.Gateways, cfg.Plans[0].OverCost = 100, c.cost
+		cfg.Gateways, cfg.Plans[0].OveruseCost = 100, c.cost
 		g, rec := open(t, cfg, backends(1000))
 		id, passed := uint32(0), 0
 		for customer := range uint64(customers) {
@@ -890,11 +890,11 @@
 			now := time.Duration(customer) * 3 * time.Second
 			for range 2 {
 				id++
-				ask(g, rec, now, choice.Request{ID: id, Customer: customer, Spread: 100}, 2)
+				ask(g, rec, now, choice.Request{ID: id, Customer: customer, SetSize: 100}, 2)
 				now += 600 * ms
 			}
 			id++
-			if ask(g, rec, now, choice.Request{ID: id, Customer: customer, Spread: 100}, -1) {
+			if ask(g, rec, now, choice.Request{ID: id, Customer: customer, SetSize: 100}, -1) {
 				passed++
 			}
 		}
@@ -911,7 +911,7 @@
 	const gateways, number, requests = 120, 200, 200
 	for _, cost := range []float64{0, 0.08} {
 		cfg := plain()
-		cfg.Gateways, cfg.HandshakeCost, cfg.ConnIdle = gateways, cost, 30*time.Second
+		cfg.Gateways, cfg.HandshakeCost, cfg.ConnIdleTimeout = gateways, cost, 30*time.Second
 		cfg.Plans[0] = choice.Plan{Rate: 1e6, Burst: 1e6, Price: 1}
 		rng := rand.New(rand.NewPCG(3, 4))
 		fresh, load := 0, map[uint32]int{}
@@ -922,11 +922,11 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			g.Members(0, choice.Cached, backends(number))
+			g.UpdateBackends(0, choice.Cached, backends(number))
 			kept := map[uint32]int{}
 			for id := range uint32(requests) {
 				now := time.Duration(id) * 50 * ms
-				g.Request(now, choice.Request{ID: id + 1, Customer: uint64(id), Spread: gateways, Units: 1, TimeLeft: time.Second})
+				g.Request(now, choice.Request{ID: id + 1, Customer: uint64(id), SetSize: gateways, Units: 1, TimeLeft: time.Second})
 				if len(rec.sent[id+1]) == 0 {
 					continue
 				}
@@ -937,7 +937,7 @@
 					kept[to]++
 				}
 				took := time.Duration(30+rng.IntN(20)) * ms
-				g.Outcome(now+took, choice.Outcome{ID: id + 1, Backend: to, Status: choice.OK, Elapsed: took, Over: true})
+				g.Outcome(now+took, choice.Outcome{ID: id + 1, Backend: to, Status: choice.OK, Elapsed: took, Answered: true})
 			}
 		}
 		sent, most := 0, 0
@@ -964,9 +964,9 @@
 	}{{700 * ms, true}, {749 * ms, true}, {750 * ms, false}, {990 * ms, false}} {
 		cfg := plain()
 		cfg.ConnectTimeout = 250 * ms
-		cfg.Classes[0].Effect, cfg.Classes[0].Group, cfg.Classes[0].Window = choice.Guarded, choice.GroupAll, time.Second
+		cfg.Classes[0].Effect, cfg.Classes[0].Group, cfg.Classes[0].DedupWindow = choice.Guarded, choice.GroupAll, time.Second
 		g, rec := open(t, cfg, backends(4))
-		g.Request(0, choice.Request{ID: 1, Customer: 1, Spread: 1, Units: 1, TimeLeft: 2 * time.Second})
+		g.Request(0, choice.Request{ID: 1, Customer: 1, SetSize: 1, Units: 1, TimeLeft: 2 * time.Second})
 		g.Outcome(c.ended, choice.Outcome{ID: 1, Backend: rec.sent[1][0], Status: choice.Reset, Elapsed: c.ended})
 		if repeated := len(rec.sent[1]) == 2; repeated != c.repeat || rec.refused[1] == c.repeat {
 			t.Errorf("reset after %v of a window of 1s: repeated %v, refused %v; want it repeated: %v", c.ended, repeated, rec.refused[1], c.repeat)
--- a/choice/cold_test.go
+++ b/choice/cold_test.go
@@ -40,13 +40,13 @@
 	f := g.f
 	f.sent[backend] = append(f.sent[backend], f.now)
 	f.due = append(f.due, coldAnswer{f.now + f.latency(), f.now, g,
-		choice.Outcome{ID: id, Backend: backend, Status: choice.OK, Over: true, Elapsed: f.latency()}})
+		choice.Outcome{ID: id, Backend: backend, Status: choice.OK, Answered: true, Elapsed: f.latency()}})
 }
 func (g *coldGate) Refuse(uint32, time.Duration, choice.Reason) {}
 func (g *coldGate) Fail(uint32, choice.Reason)                  {}
 func (g *coldGate) Cancel(uint32, int)                          {}
 func (g *coldGate) Probe(uint32)                                {}
-func (g *coldGate) After(time.Duration, uint64)                 {}
+func (g *coldGate) SetTimer(time.Duration, uint64)              {}
 
 // Backends start anew while the whole fleet has got slow, so that each gateway
 // finds them the cheapest. All gateways together keep to the budget of each,
@@ -63,7 +63,7 @@
 	for _, gateways := range []int{3, 30, 350} {
 		t.Run(fmt.Sprint(gateways, " gateways"), func(t *testing.T) {
 			cfg := plain()
-			cfg.Gateways, cfg.FallFor = gateways, 1500*ms
+			cfg.Gateways, cfg.ColdOverloadPeriod = gateways, 1500*ms
 			cfg.Classes[0].Aim, cfg.Classes[0].Deadline = 1500*ms, 4*time.Second
 			cfg.Plans[0] = choice.Plan{Rate: 1e6, Burst: 1e6, Price: 1}
 			f := &coldFleet{sent: map[uint32][]time.Duration{}}
@@ -76,7 +76,7 @@
 				if g.g, err = choice.New(cfg, uint64(self)+1, 0, g); err != nil {
 					t.Fatal(err)
 				}
-				g.g.Members(0, choice.Cached, list)
+				g.g.UpdateBackends(0, choice.Cached, list)
 				gates = append(gates, g)
 			}
 			rng := rand.New(rand.NewPCG(5, uint64(gateways)))
@@ -84,10 +84,10 @@
 			for f.now = 0; f.now < length; f.now += 5 * ms {
 				if f.now == back {
 					for i := range list[:fresh] {
-						list[i].Dated, list[i].Started = true, f.now
+						list[i].StartKnown, list[i].Started = true, f.now
 					}
 					for _, g := range gates {
-						g.g.Members(f.now, choice.Delta, list[:fresh])
+						g.g.UpdateBackends(f.now, choice.Delta, list[:fresh])
 					}
 				}
 				left := f.due[:0]
@@ -103,7 +103,7 @@
 					id++
 					asked++
 					gates[rng.IntN(gateways)].g.Request(f.now, choice.Request{
-						ID: id, Customer: uint64(id % 400), Spread: gateways, Units: 1, TimeLeft: 4 * time.Second})
+						ID: id, Customer: uint64(id % 400), SetSize: gateways, Units: 1, TimeLeft: 4 * time.Second})
 				}
 			}
 			most, sent := 0, 0
@@ -117,15 +117,15 @@
 						first = i + 1
 						continue
 					}
-					for work[i]-work[first] > cfg.FallFor {
+					for work[i]-work[first] > cfg.ColdOverloadPeriod {
 						first++
 					}
-					warm := cfg.ColdFrom + (1-cfg.ColdFrom)*(work[i]-back).Seconds()/cfg.ColdFor.Seconds()
-					budget := cfg.FallMultiple * warm * can * cfg.FallFor.Seconds()
+					warm := cfg.InitialCapacity + (1-cfg.InitialCapacity)*(work[i]-back).Seconds()/cfg.WarmUpPeriod.Seconds()
+					budget := cfg.ColdOverloadFactor * warm * can * cfg.ColdOverloadPeriod.Seconds()
 					n := i - first + 1
 					most = max(most, n)
 					if float64(n) > budget+2*math.Sqrt(budget)+2 {
-						t.Fatalf("backend %d was sent %d in %v, %v after its start; its budget is %.0f", b.ID, n, cfg.FallFor, work[i]-back, budget)
+						t.Fatalf("backend %d was sent %d in %v, %v after its start; its budget is %.0f", b.ID, n, cfg.ColdOverloadPeriod, work[i]-back, budget)
 					}
 				}
 			}
@@ -145,7 +145,7 @@
 	for _, gateways := range []int{30, 350} {
 		t.Run(fmt.Sprint(gateways, " gateways"), func(t *testing.T) {
 			cfg := plain()
-			cfg.Gateways, cfg.FallFor = gateways, 1500*ms
+			cfg.Gateways, cfg.ColdOverloadPeriod = gateways, 1500*ms
 			cfg.Plans[0] = choice.Plan{Rate: 1e6, Burst: 1e6, Price: 1}
 			list := backends(number)
 			id, cold := uint32(0), 0
@@ -156,15 +156,15 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				g.Members(0, choice.Cached, list)
+				g.UpdateBackends(0, choice.Cached, list)
 				request := func(now, took time.Duration) (to uint32) {
 					id++
-					g.Request(now, choice.Request{ID: id, Customer: uint64(id), Spread: 1, Units: 1, TimeLeft: 9 * time.Second})
+					g.Request(now, choice.Request{ID: id, Customer: uint64(id), SetSize: 1, Units: 1, TimeLeft: 9 * time.Second})
 					if len(rec.sent[id]) == 0 {
 						return 0
 					}
 					to = rec.sent[id][0]
-					g.Outcome(now+took, choice.Outcome{ID: id, Backend: to, Status: choice.OK, Elapsed: took, Over: true})
+					g.Outcome(now+took, choice.Outcome{ID: id, Backend: to, Status: choice.OK, Elapsed: took, Answered: true})
 					return to
 				}
 				slow, now := map[uint32]bool{}, 30*time.Second // long since any answer: one tells all
@@ -175,16 +175,16 @@
 					delete(slow, 0)
 				}
 				fresh := list[7]
-				fresh.Dated, fresh.Started = true, now
-				g.Members(now, choice.Delta, []choice.Backend{fresh})
+				fresh.StartKnown, fresh.Started = true, now
+				g.UpdateBackends(now, choice.Delta, []choice.Backend{fresh})
 				for range requests / gateways {
 					if request(now+500*ms, 0) == fresh.ID {
 						cold++
 					}
 				}
 			}
-			warm := cfg.ColdFrom + (1-cfg.ColdFrom)*0.5/cfg.ColdFor.Seconds()
-			budget := cfg.FallMultiple * warm * can * cfg.FallFor.Seconds()
+			warm := cfg.InitialCapacity + (1-cfg.InitialCapacity)*0.5/cfg.WarmUpPeriod.Seconds()
+			budget := cfg.ColdOverloadFactor * warm * can * cfg.ColdOverloadPeriod.Seconds()
 			if cold == 0 || float64(cold) > budget+2*math.Sqrt(budget)+2 {
 				t.Errorf("the cold one was sent %d at once, its budget is %.0f", cold, budget)
 			}
--- a/choice/customers.go
+++ b/choice/customers.go
@@ -29,7 +29,7 @@
 		c.place = g.idle[in.Plan].PushBack(c)
 	}
 	g.idle[in.Plan].MoveToBack(c.place)
-	c.spread = float64(min(max(in.Spread, 1), g.cfg.Gateways))
+	c.spread = float64(min(max(in.SetSize, 1), g.cfg.Gateways))
 	c.last = g.now
 	return c
 }
--- a/choice/export_test.go
+++ b/choice/export_test.go
@@ -6,14 +6,14 @@
 	"slices"
 )
 
-// Known tells how many backends a gateway keeps.
-func Known(g *Gateway) int { return len(g.backends) }
+// KnownBackends tells how many backends a gateway keeps.
+func KnownBackends(g *Gateway) int { return len(g.backends) }
 
-// Customers tells how many customers a gateway keeps.
-func Customers(g *Gateway) int { return len(g.customers) }
+// KnownCustomers tells how many customers a gateway keeps.
+func KnownCustomers(g *Gateway) int { return len(g.customers) }
 
-// CheckFleet holds what a gateway counts and gathers against a walk over all backends.
-func CheckFleet(g *Gateway) error {
+// CheckBackendSets holds what a gateway counts and gathers against a walk over all backends.
+func CheckBackendSets(g *Gateway) error {
 	g.expireEjections()
 	g.expireKept()
 	g.warmUp()
--- a/choice/health.go
+++ b/choice/health.go
@@ -12,11 +12,11 @@
 // warmth is the least part of its capacity that a backend can have now.
 func (g *Gateway) warmth(b *backend) float64 {
 	age := g.now - b.Started
-	if !b.Dated || g.cfg.ColdFor <= 0 || age >= g.cfg.ColdFor {
+	if !b.StartKnown || g.cfg.WarmUpPeriod <= 0 || age >= g.cfg.WarmUpPeriod {
 		return 1
 	}
-	from := max(g.cfg.ColdFrom, 0.02)
-	return from + (1-from)*max(0, age.Seconds())/g.cfg.ColdFor.Seconds()
+	from := max(g.cfg.InitialCapacity, 0.02)
+	return from + (1-from)*max(0, age.Seconds())/g.cfg.WarmUpPeriod.Seconds()
 }
 
 // coldTurn returns the cold backend whose turn it is, or nil for a warm one's, and whether there are turns.
@@ -71,11 +71,11 @@
 	}
 }
 
-// Probed takes the answer to a probe.
-func (g *Gateway) Probed(now time.Duration, p Probe) {
+// ProbeResult takes the answer to a probe.
+func (g *Gateway) ProbeResult(now time.Duration, p ProbeResult) {
 	g.step(now)
 	b := g.backends[p.Backend]
-	if b != nil && p.Status == OK && g.inflight >= 0 && g.inflight < p.Load.N {
+	if b != nil && p.Status == OK && g.inflight >= 0 && g.inflight < p.Load.Count {
 		b.others, b.reported = max(0, p.Load.Values[g.inflight]-float64(b.out)), now
 		g.held += latLeast * (b.others - g.held)
 	}
--- a/choice/membership.go
+++ b/choice/membership.go
@@ -51,9 +51,9 @@
 	b.places[s.kind] = 0
 }
 
-// Members takes a list of backends from discovery. It costs what the list names, and a complete list besides
-// what it does not name.
-func (g *Gateway) Members(now time.Duration, kind ListKind, list []Backend) {
+// UpdateBackends applies a list of backends from discovery. A delta takes time in proportion to its entries;
+// a complete list also takes time for the known backends that it does not name.
+func (g *Gateway) UpdateBackends(now time.Duration, kind ListKind, list []Backend) {
 	g.step(now)
 	if kind == Failed {
 		return
@@ -75,7 +75,7 @@
 
 // update gives a backend its new line.
 func (g *Gateway) update(b *backend, m Backend) {
-	if b.Dated != m.Dated || b.Started != m.Started {
+	if b.StartKnown != m.StartKnown || b.Started != m.Started {
 		g.pardon(b)
 		g.kept.remove(b)
 		b.fails, b.lat, b.kept = 0, 1, 0
@@ -178,7 +178,7 @@
 		return
 	}
 	g.kept.add(b)
-	if g.cfg.ConnIdle > 0 {
+	if g.cfg.ConnIdleTimeout > 0 {
 		g.expireKept()
 		g.keptQueue = append(g.keptQueue, keptEntry{b.heard, b})
 	}
@@ -186,7 +186,7 @@
 
 // expireKept takes those out whose connections have been idle for too long since they were last heard of.
 func (g *Gateway) expireKept() {
-	for len(g.keptQueue) > 0 && g.now-g.keptQueue[0].heard > g.cfg.ConnIdle/2 {
+	for len(g.keptQueue) > 0 && g.now-g.keptQueue[0].heard > g.cfg.ConnIdleTimeout/2 {
 		if first := g.keptQueue[0]; first.backend.heard == first.heard {
 			g.kept.remove(first.backend)
 		}
--- a/choice/membership_test.go
+++ b/choice/membership_test.go
@@ -15,7 +15,7 @@
 	b := choice.Backend{ID: uint32(rapid.IntRange(1, 8).Draw(t, "id")), Weight: rapid.SampledFrom([]float64{0.5, 1, 1.7}).Draw(t, "weight"),
 		State: rapid.SampledFrom([]choice.State{choice.Ready, choice.Ready, choice.Draining, choice.Removed}).Draw(t, "state")}
 	if rapid.IntRange(0, 3).Draw(t, "dated") == 0 {
-		b.Dated, b.Started = true, time.Duration(rapid.IntRange(0, 2).Draw(t, "start"))*time.Second
+		b.StartKnown, b.Started = true, time.Duration(rapid.IntRange(0, 2).Draw(t, "start"))*time.Second
 	}
 	return b
 }
@@ -27,13 +27,13 @@
 		rec := &lastSend{}
 		cfg := plain()
 		cfg.Gateways = rapid.SampledFrom([]int{4, 400}).Draw(t, "gateways")
-		cfg.HandshakeCost, cfg.ConnIdle = 0.1, time.Duration(rapid.IntRange(0, 2).Draw(t, "idle"))*2*time.Second
+		cfg.HandshakeCost, cfg.ConnIdleTimeout = 0.1, time.Duration(rapid.IntRange(0, 2).Draw(t, "idle"))*2*time.Second
 		cfg.WeightsTrusted = true
 		g, err := choice.New(cfg, 7, 0, rec)
 		if err != nil {
 			t.Fatal(err)
 		}
-		g.Members(0, choice.Full, backends(8))
+		g.UpdateBackends(0, choice.Full, backends(8))
 		now, id := time.Duration(0), uint32(0)
 		type attempt struct{ id, backend uint32 }
 		var out []attempt
@@ -41,13 +41,13 @@
 			now += time.Duration(rapid.IntRange(0, 900).Draw(t, "wait")) * ms
 			switch rapid.IntRange(0, 9).Draw(t, "event") {
 			case 0:
-				g.Members(now, choice.Delta, rapid.SliceOfN(rapid.Custom(fleetLine), 0, 4).Draw(t, "change"))
+				g.UpdateBackends(now, choice.Delta, rapid.SliceOfN(rapid.Custom(fleetLine), 0, 4).Draw(t, "change"))
 			case 1:
 				kind := rapid.SampledFrom([]choice.ListKind{choice.Full, choice.Cached, choice.Failed}).Draw(t, "kind")
-				g.Members(now, kind, rapid.SliceOfN(rapid.Custom(fleetLine), 4, 12).Draw(t, "list"))
+				g.UpdateBackends(now, kind, rapid.SliceOfN(rapid.Custom(fleetLine), 4, 12).Draw(t, "list"))
 			case 2, 3, 4, 5:
 				id++
-				g.Request(now, choice.Request{ID: id, TimeLeft: 2 * time.Second, Units: 0.01, Spread: 4})
+				g.Request(now, choice.Request{ID: id, TimeLeft: 2 * time.Second, Units: 0.01, SetSize: 4})
 				if rec.id == id {
 					out = append(out, attempt{id, rec.backend})
 				}
@@ -57,10 +57,10 @@
 				}
 				i := rapid.IntRange(0, len(out)-1).Draw(t, "attempt")
 				status := rapid.SampledFrom([]choice.Status{choice.OK, choice.Error, choice.Error, choice.Timeout}).Draw(t, "status")
-				g.Outcome(now, choice.Outcome{ID: out[i].id, Backend: out[i].backend, Status: status, Elapsed: ms, Over: true})
+				g.Outcome(now, choice.Outcome{ID: out[i].id, Backend: out[i].backend, Status: status, Elapsed: ms, Answered: true})
 				out = slices.Delete(out, i, i+1)
 			}
-			if err := choice.CheckFleet(g); err != nil {
+			if err := choice.CheckBackendSets(g); err != nil {
 				t.Fatalf("at %v: %v", now, err)
 			}
 		}
@@ -76,10 +76,10 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		g.Members(0, choice.Full, backends(40))
-		g.Members(0, choice.Full, backends(40)[15:30])
+		g.UpdateBackends(0, choice.Full, backends(40))
+		g.UpdateBackends(0, choice.Full, backends(40)[15:30])
 		for id := range uint32(60) {
-			g.Request(time.Duration(id)*10*ms, choice.Request{ID: id + 1, TimeLeft: time.Second, Units: 0.01, Spread: 4})
+			g.Request(time.Duration(id)*10*ms, choice.Request{ID: id + 1, TimeLeft: time.Second, Units: 0.01, SetSize: 4})
 		}
 		return rec.log
 	}
@@ -102,32 +102,32 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	g.Members(0, choice.Full, backends(200))
+	g.UpdateBackends(0, choice.Full, backends(200))
 	for id := uint32(1); id <= many; id++ {
-		g.Request(0, choice.Request{ID: id, Customer: uint64(id), TimeLeft: time.Hour, Units: 1, Spread: 1})
+		g.Request(0, choice.Request{ID: id, Customer: uint64(id), TimeLeft: time.Hour, Units: 1, SetSize: 1})
 		if rec.id == id && id != 500 {
-			g.Outcome(0, choice.Outcome{ID: id, Backend: rec.backend, Elapsed: ms, Over: true})
+			g.Outcome(0, choice.Outcome{ID: id, Backend: rec.backend, Elapsed: ms, Answered: true})
 		}
 	}
-	now, known := time.Duration(0), choice.Customers(g)
+	now, known := time.Duration(0), choice.KnownCustomers(g)
 	if known != many {
 		t.Fatalf("%d customers are known, want %d", known, many)
 	}
 	for events := 0; known > 1; events++ {
 		now += time.Minute
-		g.Timer(now, 0)
-		if left := choice.Customers(g); left < known-few || events > many {
+		g.TimerExpired(now, 0)
+		if left := choice.KnownCustomers(g); left < known-few || events > many {
 			t.Fatalf("event %d leaves %d customers of %d, want at most %d less", events, left, known, few)
 		} else {
 			known = left
 		}
 	}
-	g.Timer(now+time.Hour, 0)
-	if choice.Customers(g) != 1 {
+	g.TimerExpired(now+time.Hour, 0)
+	if choice.KnownCustomers(g) != 1 {
 		t.Error("a customer whose attempt is out is forgotten")
 	}
-	g.Outcome(now+time.Hour, choice.Outcome{ID: 500, Backend: rec.backend, Elapsed: ms, Over: true})
-	if g.Timer(now+2*time.Hour, 0); choice.Customers(g) != 0 {
+	g.Outcome(now+time.Hour, choice.Outcome{ID: 500, Backend: rec.backend, Elapsed: ms, Answered: true})
+	if g.TimerExpired(now+2*time.Hour, 0); choice.KnownCustomers(g) != 0 {
 		t.Error("he is not forgotten once it has ended")
 	}
 }
@@ -143,7 +143,7 @@
 	out := 0
 	for id := uint32(1); id <= 2000; id++ {
 		now := time.Duration(id) * ms
-		r := choice.Request{ID: id, Customer: uint64(id), Plan: int(id % 2), Spread: 1, Units: 1, TimeLeft: time.Hour}
+		r := choice.Request{ID: id, Customer: uint64(id), Plan: int(id % 2), SetSize: 1, Units: 1, TimeLeft: time.Hour}
 		if id%20 == 0 { // its attempt stays out
 			if g.Request(now, r); len(rec.sent[id]) > 0 {
 				out++
@@ -151,11 +151,11 @@
 			continue
 		}
 		ask(g, rec, now, r, -1)
-		if n := choice.Customers(g); n > most+out {
+		if n := choice.KnownCustomers(g); n > most+out {
 			t.Fatalf("%d customers are known with attempts of %d out, want %d and these at most", n, out, most)
 		}
 	}
-	if n := choice.Customers(g); out < 10 || n < most {
+	if n := choice.KnownCustomers(g); out < 10 || n < most {
 		t.Errorf("%d customers are known with attempts of %d out, want %d at least and 10", n, out, most)
 	}
 }
@@ -171,7 +171,7 @@
 	take := func(customer uint64, tries int) (n int) {
 		for range tries {
 			id++
-			if ask(g, rec, now, choice.Request{ID: id, Customer: customer, Spread: 1}, -1) {
+			if ask(g, rec, now, choice.Request{ID: id, Customer: customer, SetSize: 1}, -1) {
 				n++
 			}
 		}
@@ -202,7 +202,7 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			g.Members(0, choice.Full, list)
+			g.UpdateBackends(0, choice.Full, list)
 			b.ReportAllocs()
 			return g
 		}
@@ -212,13 +212,13 @@
 			for i := 0; b.Loop(); i++ {
 				line := list[i/2%len(list)]
 				line.State = states[i%2]
-				g.Members(0, choice.Delta, []choice.Backend{line})
+				g.UpdateBackends(0, choice.Delta, []choice.Backend{line})
 			}
 		})
 		b.Run("complete/"+name, func(b *testing.B) {
 			g := start(b)
 			for b.Loop() {
-				g.Members(0, choice.Full, list)
+				g.UpdateBackends(0, choice.Full, list)
 			}
 		})
 	}
--- a/choice/rules_test.go
+++ b/choice/rules_test.go
@@ -105,7 +105,7 @@
 	var first *seenAttempt // the first attempt that may have run
 	for i := range r.sent {
 		a := &r.sent[i]
-		if a.out && !k.cfg.SecondCopies {
+		if a.out && !k.cfg.Hedging {
 			k.breach(2, "request %d has two attempts out", id)
 		}
 		if !a.safe && first == nil {
@@ -119,7 +119,7 @@
 		case choice.Guarded:
 			inside := cl.Group == choice.GroupAll || cl.Group == choice.GroupZone && first.to.Zone == b.Zone ||
 				cl.Group == choice.GroupCell && first.to.Cell == b.Cell
-			if !inside || k.now-first.at > cl.Window {
+			if !inside || k.now-first.at > cl.DedupWindow {
 				k.breach(2, "request %d is sent again outside its group or window", id)
 			}
 		}
@@ -127,7 +127,7 @@
 	if len(r.sent) == 0 {
 		k.draw(r)
 	}
-	if age := k.now - b.Started; b.Dated && age < k.cfg.ColdFor {
+	if age := k.now - b.Started; b.StartKnown && age < k.cfg.WarmUpPeriod {
 		k.cold(b, age)
 		b.work = append(b.work, k.now)
 		k.backends[backend] = b
@@ -159,13 +159,13 @@
 func (k *checker) cold(b seenBackend, age time.Duration) {
 	n := 1
 	for _, at := range b.work {
-		if at > k.now-k.cfg.FallFor {
+		if at > k.now-k.cfg.ColdOverloadPeriod {
 			n++
 		}
 	}
-	share := k.cfg.ColdFrom + (1-k.cfg.ColdFrom)*age.Seconds()/k.cfg.ColdFor.Seconds()
-	if most := k.cfg.FallMultiple*share*coldCapacity*k.cfg.FallFor.Seconds() + 8; float64(n) > most {
-		k.breach(4, "cold backend %d was sent %d in %v, more than %.0f", b.ID, n, k.cfg.FallFor, most)
+	share := k.cfg.InitialCapacity + (1-k.cfg.InitialCapacity)*age.Seconds()/k.cfg.WarmUpPeriod.Seconds()
+	if most := k.cfg.ColdOverloadFactor*share*coldCapacity*k.cfg.ColdOverloadPeriod.Seconds() + 8; float64(n) > most {
+		k.breach(4, "cold backend %d was sent %d in %v, more than %.0f", b.ID, n, k.cfg.ColdOverloadPeriod, most)
 	}
 }
 
@@ -173,7 +173,7 @@
 	r := k.reqs[id]
 	a := &r.sent[attempt]
 	a.out = false
-	a.safe = st == choice.Refused || st == choice.ConnectFailed || st == choice.Moot
+	a.safe = st == choice.Refused || st == choice.ConnectFailed || st == choice.CancelledBeforeSend
 	r.ended = r.ended || over
 }
 
@@ -216,7 +216,7 @@
 		{"sent after the end", "rule 1", func(k *checker) { k.refuse(1); k.send(1, 1) }},
 		{"single shot again", "rule 2", func(k *checker) { k.send(2, 1); k.outcome(2, 0, choice.Error, false); k.send(2, 2) }},
 		{"single shot refused", "rule 2", func(k *checker) { k.send(2, 1); k.outcome(2, 0, choice.Timeout, false); k.refuse(2) }},
-		{"two out", "rule 2", func(k *checker) { k.cfg.SecondCopies = false; k.send(1, 1); k.send(1, 2) }},
+		{"two out", "rule 2", func(k *checker) { k.cfg.Hedging = false; k.send(1, 1); k.send(1, 2) }},
 		{"outside the group", "rule 2", func(k *checker) { k.send(3, 1); k.outcome(3, 0, choice.Reset, false); k.send(3, 2) }},
 		{"draining", "rule 3", func(k *checker) {
 			k.members(choice.Delta, []choice.Backend{{ID: 1, State: choice.Draining}})
@@ -229,7 +229,7 @@
 			k.send(1, 1)
 		}},
 		{"cold", "rule 4", func(k *checker) {
-			k.members(choice.Delta, []choice.Backend{{ID: 1, Dated: true, Started: k.now}})
+			k.members(choice.Delta, []choice.Backend{{ID: 1, StartKnown: true, Started: k.now}})
 			for i := range uint32(200) {
 				k.request(0, choice.Request{ID: 100 + i, TimeLeft: time.Second})
 				k.send(100+i, 1)
@@ -266,17 +266,17 @@
 			{Aim: 400 * time.Millisecond, Deadline: 1500 * time.Millisecond, Worth: 1, Effect: choice.Free},
 			{Aim: 400 * time.Millisecond, Deadline: 1500 * time.Millisecond, Worth: 4, Effect: choice.SingleShot},
 			{Aim: 300 * time.Millisecond, Deadline: time.Second, Worth: 2, Effect: choice.Guarded,
-				Group: choice.Group((kind + 1) % 3), Window: 700 * time.Millisecond},
+				Group: choice.Group((kind + 1) % 3), DedupWindow: 700 * time.Millisecond},
 		},
 		Plans: []choice.Plan{
-			{Rate: 5, Burst: 10, Price: 1, OverCost: 1},
-			{Rate: 8, Burst: 12, Price: 2, OverCost: 1, CeilingRate: 14, CeilingBurst: 20, CeilingTolerance: 2},
-			{Open: 3, Price: 1, OverCost: 1},
-			{Rate: 10, Burst: 20, Open: 5, Price: 1, OverCost: 1},
+			{Rate: 5, Burst: 10, Price: 1, OveruseCost: 1},
+			{Rate: 8, Burst: 12, Price: 2, OveruseCost: 1, CeilingRate: 14, CeilingBurst: 20, CeilingTolerance: 2},
+			{MaxInFlight: 3, Price: 1, OveruseCost: 1},
+			{Rate: 10, Burst: 20, MaxInFlight: 5, Price: 1, OveruseCost: 1},
 		},
-		MaxAttempts: 4, SecondCopies: kind%2 == 1, Cancelling: kind != 2, Probing: kind == 3,
-		ReportFields: []string{"inflight"}, RetryAfter: true, MaxRetryAfter: time.Second, WeightsTrusted: true,
-		ColdFrom: 0.2, ColdFor: 10 * time.Second, FallMultiple: 3, FallFor: 2 * time.Second, DrainGrace: 500 * time.Millisecond,
+		MaxAttempts: 4, Hedging: kind%2 == 1, Cancelling: kind != 2, Probing: kind == 3,
+		ReportFields: []string{"inflight"}, RetryAfterSupported: true, MaxRetryAfter: time.Second, WeightsTrusted: true,
+		InitialCapacity: 0.2, WarmUpPeriod: 10 * time.Second, ColdOverloadFactor: 3, ColdOverloadPeriod: 2 * time.Second, DrainGrace: 500 * time.Millisecond,
 	}
 	switch kind {
 	case 3:
@@ -328,9 +328,9 @@
 		r.ended = true
 	}
 }
-func (p port) Cancel(uint32, int)          {}
-func (p port) Probe(uint32)                {}
-func (p port) After(time.Duration, uint64) {}
+func (p port) Cancel(uint32, int)             {}
+func (p port) Probe(uint32)                   {}
+func (p port) SetTimer(time.Duration, uint64) {}
 
 func (w *world) start(g int) {
 	cfg := w.cfg
@@ -340,7 +340,7 @@
 		w.t.Fatal(err)
 	}
 	w.gates[g] = gate
-	gate.Members(w.k.now, choice.Cached, w.list)
+	gate.UpdateBackends(w.k.now, choice.Cached, w.list)
 }
 
 // end gives one pending attempt its outcome.
@@ -351,7 +351,7 @@
 	over := r.ended || st == choice.OK
 	w.k.outcome(p.id, p.attempt, st, over)
 	w.gates[p.gate].Outcome(w.k.now, choice.Outcome{
-		ID: p.id, Attempt: p.attempt, Backend: p.backend, Status: st, Elapsed: w.k.now - p.sent, Over: over,
+		ID: p.id, Attempt: p.attempt, Backend: p.backend, Status: st, Elapsed: w.k.now - p.sent, Answered: over,
 		Metered: st == choice.OK, Used: float64(rapid.IntRange(0, 300).Draw(w.t, "used")) / 100,
 	})
 }
@@ -377,11 +377,11 @@
 			r := choice.Request{
 				ID: w.nextID, Class: rapid.IntRange(0, 2).Draw(t, "class"), Plan: rapid.IntRange(0, 3).Draw(t, "plan"),
 				TimeLeft: time.Duration(rapid.IntRange(100, 1500).Draw(t, "left")) * time.Millisecond,
-				Units:    float64(rapid.IntRange(1, 2).Draw(t, "units")), Spread: len(w.gates),
+				Units:    float64(rapid.IntRange(1, 2).Draw(t, "units")), SetSize: len(w.gates),
 			}
-			if r.Plan == 1 && r.Spread > 10 { // under a ceiling a spread leaves two requests for each of its gateways
-				if r.Spread = 10; g >= r.Spread {
-					r.Plan, r.Spread = 0, len(w.gates)
+			if r.Plan == 1 && r.SetSize > 10 { // under a ceiling a spread leaves two requests for each of its gateways
+				if r.SetSize = 10; g >= r.SetSize {
+					r.Plan, r.SetSize = 0, len(w.gates)
 				}
 			}
 			r.Customer = uint64(r.Plan*10 + rapid.IntRange(0, 1).Draw(t, "customer"))
@@ -397,11 +397,11 @@
 		b := &w.list[rapid.IntRange(0, len(w.list)-1).Draw(t, "backend")]
 		b.State = choice.State(rapid.SampledFrom([]int{0, 0, 1, 2}).Draw(t, "state"))
 		if b.State == choice.Ready && rapid.Bool().Draw(t, "restarts") {
-			b.Started, b.Dated = w.k.now, true
+			b.Started, b.StartKnown = w.k.now, true
 		}
 		w.k.members(choice.Delta, []choice.Backend{*b})
 		for _, gate := range w.gates {
-			gate.Members(w.k.now, choice.Delta, []choice.Backend{*b})
+			gate.UpdateBackends(w.k.now, choice.Delta, []choice.Backend{*b})
 		}
 	case 8:
 		if rapid.IntRange(0, 5).Draw(t, "crash") == 0 {
@@ -424,14 +424,14 @@
 		if len(w.out) > 0 {
 			p := w.out[rapid.IntRange(0, len(w.out)-1).Draw(t, "gone")]
 			w.k.reqs[p.id].ended = true
-			w.gates[p.gate].Gone(w.k.now, p.id)
+			w.gates[p.gate].ClientDisconnected(w.k.now, p.id)
 		} else {
-			w.gates[g].Timer(w.k.now, uint64(w.nextID)<<8|1)
+			w.gates[g].TimerExpired(w.k.now, uint64(w.nextID)<<8|1)
 		}
 	}
 	for _, p := range append([]pending(nil), w.out...) {
 		if w.k.now-p.sent > 100*time.Millisecond {
-			w.gates[p.gate].Timer(w.k.now, uint64(p.id)<<8|uint64(len(w.k.reqs[p.id].sent)))
+			w.gates[p.gate].TimerExpired(w.k.now, uint64(p.id)<<8|uint64(len(w.k.reqs[p.id].sent)))
 		}
 	}
 }
@@ -466,7 +466,7 @@
 	cfg := plain()
 	cfg.Gateways = 400
 	list := backends(20)
-	list[7].Dated, list[7].Started = true, 0
+	list[7].StartKnown, list[7].Started = true, 0
 	k := newChecker(cfg)
 	k.members(choice.Cached, list)
 	for self := range cfg.Gateways {
@@ -476,10 +476,10 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		g.Members(0, choice.Cached, list)
+		g.UpdateBackends(0, choice.Cached, list)
 		for i := range uint32(8) { // twice what the fleet can do in the time of the budget
 			id := uint32(self)*8 + i + 1
-			r := choice.Request{ID: id, Customer: uint64(id), Spread: 1, Units: 1, TimeLeft: time.Second}
+			r := choice.Request{ID: id, Customer: uint64(id), SetSize: 1, Units: 1, TimeLeft: time.Second}
 			k.request(self, r)
 			if ask(g, rec, 0, r, -1) {
 				k.send(id, rec.sent[id][0])
--- a/choice/selection.go
+++ b/choice/selection.go
@@ -82,7 +82,7 @@
 
 // reusable tells whether an own connection to b has carried an answer and is free.
 func (g *Gateway) reusable(b *backend) bool {
-	return b.kept > 0 && (g.cfg.ConnIdle <= 0 || g.now-b.heard <= g.cfg.ConnIdle/2)
+	return b.kept > 0 && (g.cfg.ConnIdleTimeout <= 0 || g.now-b.heard <= g.cfg.ConnIdleTimeout/2)
 }
 
 // size is what the settings let one know of a backend's size.
@@ -105,7 +105,7 @@
 		return false
 	case Guarded:
 		// The repeat may have to wait for its connection, and has to begin within the window.
-		return g.now-a.sent+g.cfg.ConnectTimeout < cl.Window && (cl.Group == GroupAll ||
+		return g.now-a.sent+g.cfg.ConnectTimeout < cl.DedupWindow && (cl.Group == GroupAll ||
 			cl.Group == GroupZone && b.Zone == a.to.Zone ||
 			cl.Group == GroupCell && b.Cell == a.to.Cell)
 	}
--- a/choice/stopping.go
+++ b/choice/stopping.go
@@ -23,7 +23,7 @@
 	for _, r := range g.requests {
 		g.cut(r)
 	}
-	g.act.After(max(0, answerBy-now), stopToken)
+	g.act.SetTimer(max(0, answerBy-now), stopToken)
 }
 
 // cut bounds a request's time by the end of the process.
@@ -42,7 +42,7 @@
 // answerAll gives what is still open its final answer.
 func (g *Gateway) answerAll() {
 	if g.now < g.answerBy {
-		g.act.After(g.answerBy-g.now, stopToken)
+		g.act.SetTimer(g.answerBy-g.now, stopToken)
 		return
 	}
 	for _, id := range slices.Sorted(maps.Keys(g.requests)) {
--- a/choice/stopping_test.go
+++ b/choice/stopping_test.go
@@ -44,7 +44,7 @@
 }
 func (r *stopRecorder) Cancel(uint32, int) {}
 func (r *stopRecorder) Probe(uint32)       {}
-func (r *stopRecorder) After(wait time.Duration, token uint64) {
+func (r *stopRecorder) SetTimer(wait time.Duration, token uint64) {
 	r.timers = append(r.timers, stopTimer{r.now + wait, token})
 }
 
@@ -57,11 +57,11 @@
 func newStopRig(t *testing.T) *stopRig {
 	t.Helper()
 	cfg := plain()
-	cfg.Gateways, cfg.SecondCopies, cfg.Cancelling = 1, true, true
+	cfg.Gateways, cfg.Hedging, cfg.Cancelling = 1, true, true
 	cfg.Plans[0].Rate, cfg.Plans[0].Burst = 1e6, 1e6
 	free := cfg.Classes[0]
 	guarded, single := free, free
-	guarded.Effect, guarded.Group, guarded.Window = choice.Guarded, choice.GroupZone, time.Minute
+	guarded.Effect, guarded.Group, guarded.DedupWindow = choice.Guarded, choice.GroupZone, time.Minute
 	single.Effect = choice.SingleShot
 	everywhere := guarded
 	everywhere.Group = choice.GroupAll
@@ -71,7 +71,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	g.Members(0, choice.Cached, backends(20))
+	g.UpdateBackends(0, choice.Cached, backends(20))
 	return &stopRig{g, rec}
 }
 
@@ -90,13 +90,13 @@
 		due := r.timers[next]
 		r.timers = append(r.timers[:next], r.timers[next+1:]...)
 		r.now = max(r.now, due.at)
-		r.Timer(r.now, due.token)
+		r.TimerExpired(r.now, due.token)
 	}
 	r.now = now
 }
 
 func (r *stopRig) ask(id uint32, class int, left time.Duration) {
-	r.Request(r.now, choice.Request{ID: id, Class: class, Customer: uint64(id), TimeLeft: left, Units: 1, Spread: 1})
+	r.Request(r.now, choice.Request{ID: id, Class: class, Customer: uint64(id), TimeLeft: left, Units: 1, SetSize: 1})
 }
 
 // Each open request has its final answer by the time told: a refusal where
@@ -121,7 +121,7 @@
 	}
 	for class := range uint32(4) { // what is still out ends later
 		for attempt, send := range r.sent[class] {
-			r.Outcome(r.now, choice.Outcome{ID: class, Attempt: attempt, Backend: send.backend, Status: choice.Cancelled, Over: true})
+			r.Outcome(r.now, choice.Outcome{ID: class, Attempt: attempt, Backend: send.backend, Status: choice.Cancelled, Answered: true})
 		}
 		if len(r.ends[class]) != 1 {
 			t.Errorf("class %d is answered again: %v", class, r.ends[class])
@@ -207,11 +207,11 @@
 						continue
 					}
 					ended[key] = true
-					status := choice.Status(random.IntN(int(choice.Moot)))
+					status := choice.Status(random.IntN(int(choice.CancelledBeforeSend)))
 					over := served[id] || len(r.ends[id]) > 0 || status == choice.OK
 					served[id] = served[id] || status == choice.OK && len(r.ends[id]) == 0
 					r.Outcome(now, choice.Outcome{ID: id, Attempt: attempt, Backend: r.sent[id][attempt].backend,
-						Status: status, Over: over})
+						Status: status, Answered: over})
 				}
 			}
 		}
--- a/cmd/drill/main.go
+++ b/cmd/drill/main.go
@@ -35,10 +35,10 @@
 func (n *instance) Refuse(id uint32, after time.Duration, _ choice.Reason) {
 	n.reply.Refuse(n.num, id, after)
 }
-func (n *instance) Fail(id uint32, _ choice.Reason)        { n.reply.Fail(n.num, id) }
-func (n *instance) Cancel(id uint32, attempt int)          { n.reply.Cancel(n.num, id, attempt) }
-func (n *instance) Probe(backend uint32)                   { n.reply.Probe(n.num, backend) }
-func (n *instance) After(wait time.Duration, token uint64) { n.reply.After(n.num, wait, token) }
+func (n *instance) Fail(id uint32, _ choice.Reason)           { n.reply.Fail(n.num, id) }
+func (n *instance) Cancel(id uint32, attempt int)             { n.reply.Cancel(n.num, id, attempt) }
+func (n *instance) Probe(backend uint32)                      { n.reply.Probe(n.num, backend) }
+func (n *instance) SetTimer(wait time.Duration, token uint64) { n.reply.After(n.num, wait, token) }
 
 // run serves batches until the end of input.
 func run(in io.Reader, out io.Writer) error {
@@ -126,16 +126,16 @@
 		} else if n.ask {
 			n.reply.Subscribe(n.num)
 		}
-		n.Members(now, e.Kind, list)
+		n.UpdateBackends(now, e.Kind, list)
 	case wire.CodeRequest:
 		n.Request(now, e.Request)
 	case wire.CodeOutcome:
 		n.Outcome(now, e.Outcome)
 	case wire.CodeProbed:
-		n.Probed(now, e.Probe)
+		n.ProbeResult(now, e.Probe)
 	case wire.CodeGone:
-		n.Gone(now, e.ID)
+		n.ClientDisconnected(now, e.ID)
 	case wire.CodeTimer:
-		n.Timer(now, e.Token)
+		n.TimerExpired(now, e.Token)
 	}
 }
--- a/internal/ingress/attempt.go
+++ b/internal/ingress/attempt.go
@@ -67,7 +67,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.moot {
-		return choice.Moot // it says nothing of the backend
+		return choice.CancelledBeforeSend // it says nothing of the backend
 	}
 	return choice.ConnectFailed
 }
--- a/internal/ingress/command.go
+++ b/internal/ingress/command.go
@@ -351,7 +351,7 @@
 		r.metered, r.used = true, got.used
 	}
 	if n := min(len(cfg.Choice.ReportFields), len(got.load.Values)); n > 0 && fields == 1<<n-1 {
-		got.load.N = n
+		got.load.Count = n
 		r.load = got.load
 	}
 }
--- a/internal/ingress/conn_test.go
+++ b/internal/ingress/conn_test.go
@@ -21,7 +21,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	load := choice.Load{N: 2, Values: [4]float64{7, 12.5}}
+	load := choice.Load{Count: 2, Values: [4]float64{7, 12.5}}
 	for _, c := range []struct {
 		text string
 		want reply
@@ -387,13 +387,13 @@
 	a.withdraw() // while it waited for its connection
 	b.send(a)
 	go b.read()
-	b.want(t, choice.Moot)
+	b.want(t, choice.CancelledBeforeSend)
 	b.wantNothing(t)
 
 	a = b.attempt(t)
 	a.withdraw()
 	a.run(nil)
-	b.want(t, choice.Moot)
+	b.want(t, choice.CancelledBeforeSend)
 
 	b = newBench(t)
 	a = b.attempt(t)
--- a/internal/ingress/loop.go
+++ b/internal/ingress/loop.go
@@ -129,7 +129,7 @@
 	l.cfg.Log.Taken(eventlog.Taken{Request: r.name, Client: r.from.number, Class: r.class, Customer: r.customer, Left: left})
 	l.gateway.Request(now, choice.Request{
 		ID: r.id, Class: r.class, Plan: r.plan, Customer: r.customer, TimeLeft: left,
-		Units: r.units, Spread: r.spread, First: r.first, Repeat: r.repeat,
+		Units: r.units, SetSize: r.spread, SetStart: r.first, ClientRetry: r.repeat,
 	})
 	l.forget(r)
 }
@@ -176,7 +176,7 @@
 			if len(r.attempts) == 0 {
 				l.ids.remove(r.name) // nothing was sent on: it may come again
 			}
-			l.gateway.Gone(l.now(), r.id)
+			l.gateway.ClientDisconnected(l.now(), r.id)
 			l.forget(r)
 		}
 	}
@@ -192,7 +192,7 @@
 		l.pool.put(c)
 	}
 	if a.request == nil {
-		l.gateway.Probed(l.now(), choice.Probe{
+		l.gateway.ProbeResult(l.now(), choice.ProbeResult{
 			Backend: a.to.id, Status: answer.status, Elapsed: elapsed, Load: answer.load})
 		return
 	}
@@ -207,7 +207,7 @@
 		l.answer(r, answer.value)
 	}
 	l.gateway.Outcome(l.now(), choice.Outcome{
-		ID: r.id, Attempt: a.number, Backend: a.to.id, Status: answer.status, Elapsed: elapsed, Over: r.over,
+		ID: r.id, Attempt: a.number, Backend: a.to.id, Status: answer.status, Elapsed: elapsed, Answered: r.over,
 		Metered: answer.metered, Used: answer.used, Load: answer.load,
 	})
 	l.forget(r)
@@ -277,10 +277,10 @@
 			record.started, _ = l.started(c.UpSince)
 			record.dated = c.UpSince
 		}
-		b.ID, b.Started, b.Dated = record.id, record.started, record.dated > 0
+		b.ID, b.Started, b.StartKnown = record.id, record.started, record.dated > 0
 		backends[i] = b
 	}
-	l.gateway.Members(l.now(), choice.Delta, backends)
+	l.gateway.UpdateBackends(l.now(), choice.Delta, backends)
 	l.checkReady()
 }
 
@@ -377,9 +377,9 @@
 	l.pool.start(&attempt{repeatable: true, deadline: time.Now().Add(probeTimeout)}, backend)
 }
 
-// After sets a timer.
-func (l *loop) After(wait time.Duration, token uint64) {
+// SetTimer sets a timer.
+func (l *loop) SetTimer(wait time.Duration, token uint64) {
 	time.AfterFunc(wait, func() {
-		l.post(func(l *loop) { l.gateway.Timer(l.now(), token) })
+		l.post(func(l *loop) { l.gateway.TimerExpired(l.now(), token) })
 	})
 }
--- a/internal/ingress/server.go
+++ b/internal/ingress/server.go
@@ -151,7 +151,7 @@
 }
 
 // busy is the answer to what is refused before it reaches the gateway.
-func (s *Server) busy() []byte { return busy(s.cfg.Choice.Advice()) }
+func (s *Server) busy() []byte { return busy(s.cfg.Choice.RetryAfterHint()) }
 
 // add serves a new connection.
 func (s *Server) add(nc net.Conn) {
--- a/internal/scale/slopes.go
+++ b/internal/scale/slopes.go
@@ -211,7 +211,7 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	cfg.Choice.ColdFor = time.Hour
+	cfg.Choice.WarmUpPeriod = time.Hour
 	sent := &lastSend{}
 	gateway, err := choice.New(cfg.Choice, 1, 0, sent)
 	if err != nil {
@@ -219,9 +219,9 @@
 	}
 	backends := make([]choice.Backend, size)
 	for i := range backends {
-		backends[i] = choice.Backend{ID: uint32(i + 1), Zone: i % len(zones), Weight: 1, Dated: i < cold}
+		backends[i] = choice.Backend{ID: uint32(i + 1), Zone: i % len(zones), Weight: 1, StartKnown: i < cold}
 	}
-	gateway.Members(0, choice.Cached, backends)
+	gateway.UpdateBackends(0, choice.Cached, backends)
 	return gateway, sent, nil
 }
 
@@ -231,9 +231,9 @@
 // serve tells the gateway of a request and of its answer, if it was sent on.
 func (l *lastSend) serve(gateway *choice.Gateway, now time.Duration, id uint32, customer uint64) {
 	const service = 2 * time.Millisecond
-	gateway.Request(now, choice.Request{ID: id, Customer: customer, TimeLeft: 4 * time.Second, Units: 1, Spread: 3})
+	gateway.Request(now, choice.Request{ID: id, Customer: customer, TimeLeft: 4 * time.Second, Units: 1, SetSize: 3})
 	if l.id == id {
-		gateway.Outcome(now+service, choice.Outcome{ID: id, Backend: l.backend, Elapsed: service, Over: true, Metered: true, Used: 0.5})
+		gateway.Outcome(now+service, choice.Outcome{ID: id, Backend: l.backend, Elapsed: service, Answered: true, Metered: true, Used: 0.5})
 	}
 }
 
@@ -252,8 +252,8 @@
 // Probe does nothing.
 func (l *lastSend) Probe(uint32) {}
 
-// After does nothing.
-func (l *lastSend) After(time.Duration, uint64) {}
+// SetTimer does nothing.
+func (l *lastSend) SetTimer(time.Duration, uint64) {}
 
 // controlConfig is the configuration of an ingress of the target's deployment.
 func controlConfig(ingresses, self int) (ingress.Config, error) {
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -82,13 +82,13 @@
 	cfg = choice.Config{
 		Gateways: s.Balancers, Self: s.Self, Zone: s.Zone, Tick: millis(s.Tick),
 		MeterPeriod: millis(s.Specifics.MeterPeriod), MaxUnits: s.Specifics.MaxUnits,
-		MaxAttempts: s.Bounds.TryLimit, SecondCopies: s.Bounds.SecondCopies, Probing: s.Bounds.Probing,
-		Cancelling: s.Bounds.Cancelling, MaxRetryAfter: millis(s.Bounds.MaxRetryAfter), RetryAfter: s.Bounds.RetryAfter,
-		WeightsTrusted: s.Weights == "nominal" || s.Weights == "rough",
-		ColdFrom:       s.Invariants.ColdFrom, ColdFor: millis(s.Invariants.ColdFor),
-		FallMultiple: s.Invariants.FallMultiple, FallFor: millis(s.Invariants.FallFor),
+		MaxAttempts: s.Bounds.TryLimit, Hedging: s.Bounds.SecondCopies, Probing: s.Bounds.Probing,
+		Cancelling: s.Bounds.Cancelling, MaxRetryAfter: millis(s.Bounds.MaxRetryAfter), RetryAfterSupported: s.Bounds.RetryAfter,
+		WeightsTrusted:  s.Weights == "nominal" || s.Weights == "rough",
+		InitialCapacity: s.Invariants.ColdFrom, WarmUpPeriod: millis(s.Invariants.ColdFor),
+		ColdOverloadFactor: s.Invariants.FallMultiple, ColdOverloadPeriod: millis(s.Invariants.FallFor),
 		DrainGrace: millis(s.Invariants.DrainGrace), CrossZoneCost: s.Prices.CrossZone,
-		HandshakeCost: s.Prices.Handshake, ConnIdle: millis(s.Bounds.ConnIdle), ConnectTimeout: millis(s.Bounds.Connect),
+		HandshakeCost: s.Prices.Handshake, ConnIdleTimeout: millis(s.Bounds.ConnIdle), ConnectTimeout: millis(s.Bounds.Connect),
 	}
 	for _, f := range s.Report.Fields {
 		if word, ok := fields[f]; ok {
@@ -107,12 +107,12 @@
 		}
 		cfg.Classes = append(cfg.Classes, choice.Class{
 			Aim: millis(c.Aim), Deadline: millis(c.GiveUp), Worth: c.Worth, LateWorth: c.LateWorth,
-			Effect: effect, Group: group, Window: millis(c.Window),
+			Effect: effect, Group: group, DedupWindow: millis(c.Window),
 		})
 	}
 	for _, p := range s.Plans {
 		cfg.Plans = append(cfg.Plans, choice.Plan{
-			Rate: p.Rate, Burst: p.Burst, Open: p.Open, Price: p.Price, OverCost: p.OverCost,
+			Rate: p.Rate, Burst: p.Burst, MaxInFlight: p.Open, Price: p.Price, OveruseCost: p.OverCost,
 			CeilingRate: p.CeilingRate, CeilingBurst: p.CeilingBurst, CeilingTolerance: p.Tolerance,
 		})
 	}
--- a/internal/wire/settings_test.go
+++ b/internal/wire/settings_test.go
@@ -12,15 +12,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if cfg.HandshakeCost != 0.08 || cfg.ConnIdle != 30*time.Second || cfg.CrossZoneCost != 0.02 {
+	if cfg.HandshakeCost != 0.08 || cfg.ConnIdleTimeout != 30*time.Second || cfg.CrossZoneCost != 0.02 {
 		t.Errorf("handshakes cost %v, connections are kept %v, zones cost %v; want 0.08, 30s, 0.02",
-			cfg.HandshakeCost, cfg.ConnIdle, cfg.CrossZoneCost)
+			cfg.HandshakeCost, cfg.ConnIdleTimeout, cfg.CrossZoneCost)
 	}
 	if cfg.ConnectTimeout != 250*time.Millisecond {
 		t.Errorf("a connection may take %v, want 250ms", cfg.ConnectTimeout)
 	}
-	if cfg, _, err = ParseConfig([]byte(`{}`)); err != nil || cfg.HandshakeCost != 0 || cfg.ConnIdle != 0 {
+	if cfg, _, err = ParseConfig([]byte(`{}`)); err != nil || cfg.HandshakeCost != 0 || cfg.ConnIdleTimeout != 0 {
 		t.Errorf("empty settings: handshakes cost %v, connections are kept %v, error %v; want 0, 0, none",
-			cfg.HandshakeCost, cfg.ConnIdle, err)
+			cfg.HandshakeCost, cfg.ConnIdleTimeout, err)
 	}
 }
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -103,7 +103,7 @@
 	Backends []choice.Backend
 	Request  choice.Request
 	Outcome  choice.Outcome
-	Probe    choice.Probe
+	Probe    choice.ProbeResult
 	ID       uint32
 	Token    uint64
 }
@@ -150,7 +150,7 @@
 		e.Request = choice.Request{
 			ID: le.Uint32(r[6:]), Class: int(r[10]), Plan: int(le.Uint32(r[11:])), Customer: le.Uint64(r[15:]),
 			TimeLeft: millis(getFloat(r, 23)), Units: getFloat32(r, 31),
-			Spread: int(getFloat32(r, 35)), First: int(getFloat32(r, 39)), Repeat: r[43]&2 != 0,
+			SetSize: int(getFloat32(r, 35)), SetStart: int(getFloat32(r, 39)), ClientRetry: r[43]&2 != 0,
 		}
 	case CodeOutcome:
 		st, ok := status(le.Uint16(r[15:]))
@@ -160,7 +160,7 @@
 		used := le.Uint16(r[26:])
 		e.Outcome = choice.Outcome{
 			ID: le.Uint32(r[6:]), Attempt: int(r[10]), Backend: le.Uint32(r[11:]), Status: st,
-			Elapsed: millis(getFloat(r, 17)), Over: r[25] != 0, Load: load(r[30:]),
+			Elapsed: millis(getFloat(r, 17)), Answered: r[25] != 0, Load: load(r[30:]),
 		}
 		if used > 0 {
 			e.Outcome.Metered, e.Outcome.Used = true, float64(used-1)/100
@@ -170,7 +170,7 @@
 		if !ok {
 			return fail("outcome %d is unknown", le.Uint16(r[14:]))
 		}
-		e.Probe = choice.Probe{Backend: le.Uint32(r[16:]), Status: st, Elapsed: millis(getFloat(r, 6)), Load: load(r[20:])}
+		e.Probe = choice.ProbeResult{Backend: le.Uint32(r[16:]), Status: st, Elapsed: millis(getFloat(r, 6)), Load: load(r[20:])}
 	case CodeGone:
 		e.ID = le.Uint32(r[6:])
 	case CodeTimer:
@@ -207,14 +207,14 @@
 		return m, fmt.Errorf("state %d of backend %d is unknown", d[9], m.ID)
 	}
 	if at := getFloat(d, 14); at != 0 {
-		m.Started, m.Dated = millis(at), true
+		m.Started, m.StartKnown = millis(at), true
 	}
 	return m, nil
 }
 
 func load(r []byte) (l choice.Load) {
-	l.N = min(int(r[0]), len(l.Values))
-	for i := range l.N {
+	l.Count = min(int(r[0]), len(l.Values))
+	for i := range l.Count {
 		l.Values[i] = getFloat32(r, 1+4*i)
 	}
 	return l
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -66,26 +66,26 @@
 	if e := ev[0]; e.Code != CodeInit || e.Inst != 4 || e.Seed != 7 || string(e.Config) != "{}" {
 		t.Errorf("init read as %+v", e)
 	}
-	want := choice.Backend{ID: 5, Zone: 2, Kind: 1, Cell: 3, State: choice.Draining, Weight: 2, Started: time.Second, Dated: true}
+	want := choice.Backend{ID: 5, Zone: 2, Kind: 1, Cell: 3, State: choice.Draining, Weight: 2, Started: time.Second, StartKnown: true}
 	if e := ev[1]; e.Code != CodeList || e.List != 2 || len(e.Backends) != 1 || e.Backends[0] != want {
 		t.Errorf("list read as %+v", e)
 	}
 	if e := ev[2]; e.Code != CodeMembers || e.Kind != choice.Full || e.List != 2 {
 		t.Errorf("members read as %+v", e)
 	}
-	request := choice.Request{ID: 17, Class: 1, Plan: 2, Customer: 42, TimeLeft: 500 * time.Millisecond, Units: 2, Spread: 3, First: 1, Repeat: true}
+	request := choice.Request{ID: 17, Class: 1, Plan: 2, Customer: 42, TimeLeft: 500 * time.Millisecond, Units: 2, SetSize: 3, SetStart: 1, ClientRetry: true}
 	if e := ev[3]; e.Request != request {
 		t.Errorf("request read as %+v", e.Request)
 	}
-	outcome := choice.Outcome{ID: 17, Attempt: 1, Backend: 5, Status: choice.Error, Elapsed: 20 * time.Millisecond, Over: true,
-		Metered: true, Used: 1, Load: choice.Load{N: 2, Values: [4]float64{1, 2}}}
+	outcome := choice.Outcome{ID: 17, Attempt: 1, Backend: 5, Status: choice.Error, Elapsed: 20 * time.Millisecond, Answered: true,
+		Metered: true, Used: 1, Load: choice.Load{Count: 2, Values: [4]float64{1, 2}}}
 	if e := ev[4]; e.Outcome != outcome {
 		t.Errorf("outcome read as %+v", e.Outcome)
 	}
 	if ev[5].ID != 17 || ev[6].Token != 77 {
 		t.Errorf("gone and timer read as %+v, %+v", ev[5], ev[6])
 	}
-	probe := choice.Probe{Backend: 5, Status: choice.ConnectFailed, Elapsed: 20 * time.Millisecond, Load: choice.Load{N: 1, Values: [4]float64{1}}}
+	probe := choice.ProbeResult{Backend: 5, Status: choice.ConnectFailed, Elapsed: 20 * time.Millisecond, Load: choice.Load{Count: 1, Values: [4]float64{1}}}
 	if e := ev[7]; e.Probe != probe {
 		t.Errorf("probe read as %+v", e.Probe)
 	}
@@ -169,10 +169,10 @@
 		t.Fatal(err)
 	}
 	class := choice.Class{Aim: 300 * time.Millisecond, Deadline: 900 * time.Millisecond, Worth: 2, Effect: choice.Guarded,
-		Group: choice.GroupCell, Window: 50 * time.Millisecond}
-	plan := choice.Plan{Rate: 1.5, Burst: 4, CeilingRate: 3, CeilingBurst: 8, CeilingTolerance: 1, Open: 2, Price: 3}
-	if !ask || cfg.Gateways != 3 || cfg.Self != 2 || cfg.Zone != 1 || cfg.MaxAttempts != 4 || !cfg.SecondCopies ||
-		cfg.MaxRetryAfter != 700*time.Millisecond || cfg.ColdFor != 9*time.Second || cfg.FallMultiple != 2.5 ||
+		Group: choice.GroupCell, DedupWindow: 50 * time.Millisecond}
+	plan := choice.Plan{Rate: 1.5, Burst: 4, CeilingRate: 3, CeilingBurst: 8, CeilingTolerance: 1, MaxInFlight: 2, Price: 3}
+	if !ask || cfg.Gateways != 3 || cfg.Self != 2 || cfg.Zone != 1 || cfg.MaxAttempts != 4 || !cfg.Hedging ||
+		cfg.MaxRetryAfter != 700*time.Millisecond || cfg.WarmUpPeriod != 9*time.Second || cfg.ColdOverloadFactor != 2.5 ||
 		cfg.MeterPeriod != 250*time.Millisecond || !cfg.WeightsTrusted || cfg.ReportFields[0] != "inflight" ||
 		cfg.ReportFields[1] != "novel" || cfg.Classes[0] != class || cfg.Plans[0] != plan {
 		t.Errorf("settings read as %+v", cfg)
