--- a/internal/ingress/command.go
+++ b/internal/ingress/command.go
@@ -351,7 +351,7 @@
 		r.metered, r.used = true, parsed.used
 	}
 	if n := min(len(cfg.Choice.ReportFields), len(parsed.load.Values)); n > 0 && seen == 1<<n-1 {
-		parsed.load.N = n
+		parsed.load.Count = n
 		r.load = parsed.load
 	}
 }
