--- a/cmd/cedarseam/main.go
+++ b/cmd/cedarseam/main.go
@@ -77,7 +77,7 @@
 	ctx, cancel := context.WithCancelCause(context.Background())
 	go func() {
 		<-terminate
-		cancel(shutdown.Requested{At: time.Now()})
+		cancel(shutdown.RequestedError{At: time.Now()})
 	}()
 	return ctx
 }
--- a/internal/eventlog/eventlog.go
+++ b/internal/eventlog/eventlog.go
@@ -36,8 +36,8 @@
 // Logger is for lines that belong to no event of this package.
 func (l *Log) Logger() *slog.Logger { return l.logger }
 
-// Detail makes the log detailed from now on.
-func (l *Log) Detail() {
+// EnableDetail makes the log detailed from now on.
+func (l *Log) EnableDetail() {
 	if l != nil {
 		l.level.Set(slog.LevelDebug)
 	}
@@ -71,15 +71,15 @@
 	l.write(slog.LevelInfo, "state", append([]slog.Attr{slog.String("state", state)}, attributes...)...)
 }
 
-// Opened is a new connection of a client.
-func (l *Log) Opened(client uint64) {
+// ClientOpened is a new connection of a client.
+func (l *Log) ClientOpened(client uint64) {
 	if l.Detailed() {
 		l.detail("client opened", slog.Uint64("client", client))
 	}
 }
 
-// Closed is the end of a client's connection.
-type Closed struct {
+// ClientClosed is the end of a client's connection.
+type ClientClosed struct {
 	Client  uint64
 	Reason  string
 	Age     time.Duration
@@ -87,50 +87,50 @@
 	Unread  bool // bytes came that were not read
 }
 
-// Closed writes the end of a client's connection.
-func (l *Log) Closed(c Closed) {
+// ClientClosed writes the end of a client's connection.
+func (l *Log) ClientClosed(c ClientClosed) {
 	if l.Detailed() {
 		l.detail("client closed", slog.Uint64("client", c.Client), slog.String("reason", c.Reason),
 			milliseconds("age_ms", c.Age), slog.Int("answers", c.Answers), slog.Bool("unread", c.Unread))
 	}
 }
 
-// Taken is a request that was read whole.
-type Taken struct {
+// RequestReceived is a request that was read whole.
+type RequestReceived struct {
 	Request  uint64
 	Client   uint64
 	Class    int
 	Customer uint64
-	Left     time.Duration // to its final answer
+	TimeLeft     time.Duration // to its final answer
 }
 
-// Taken writes that a request was taken.
-func (l *Log) Taken(t Taken) {
+// RequestReceived writes that a request was taken.
+func (l *Log) RequestReceived(t RequestReceived) {
 	if l.Detailed() {
 		l.detail("request taken", requestID(t.Request), slog.Uint64("client", t.Client), slog.Int("class", t.Class),
-			slog.String("customer", fmt.Sprintf("%016x", t.Customer)), milliseconds("left_ms", t.Left))
+			slog.String("customer", fmt.Sprintf("%016x", t.Customer)), milliseconds("left_ms", t.TimeLeft))
 	}
 }
 
-// Answered is the final answer of a request.
-type Answered struct {
+// RequestFinished is the final answer of a request.
+type RequestFinished struct {
 	Request  uint64
-	End      string // served, refused, failed or gone
+	Outcome      string // served, refused, failed or gone
 	Reason   string
-	After    time.Duration // advice with a refusal
+	RetryAfter    time.Duration // advice with a refusal
 	Attempts int
 }
 
-// Answered writes the final answer of a request.
-func (l *Log) Answered(a Answered) {
+// RequestFinished writes the final answer of a request.
+func (l *Log) RequestFinished(a RequestFinished) {
 	if l.Detailed() {
-		l.detail("request over", requestID(a.Request), slog.String("end", a.End), slog.String("reason", a.Reason),
-			milliseconds("advice_ms", a.After), slog.Int("attempts", a.Attempts))
+		l.detail("request over", requestID(a.Request), slog.String("end", a.Outcome), slog.String("reason", a.Reason),
+			milliseconds("advice_ms", a.RetryAfter), slog.Int("attempts", a.Attempts))
 	}
 }
 
-// Sent is the start of an attempt.
-type Sent struct {
+// AttemptSent is the start of an attempt.
+type AttemptSent struct {
 	Request uint64
 	Attempt int
 	Backend string
@@ -138,29 +138,29 @@
 	Timeout time.Duration
 }
 
-// Sent writes the start of an attempt.
-func (l *Log) Sent(s Sent) {
+// AttemptSent writes the start of an attempt.
+func (l *Log) AttemptSent(s AttemptSent) {
 	if l.Detailed() {
 		l.detail("attempt sent", requestID(s.Request), slog.Int("attempt", s.Attempt), slog.String("backend", s.Backend),
 			slog.String("kind", s.Kind), milliseconds("timeout_ms", s.Timeout))
 	}
 }
 
-// Ended is the end of an attempt.
-type Ended struct {
+// AttemptEnded is the end of an attempt.
+type AttemptEnded struct {
 	Request uint64
 	Attempt int
 	Backend string
 	Status  string
 	Elapsed time.Duration
-	Kept    bool // its connection can be used again
+	Reusable    bool // its connection can be used again
 }
 
-// Ended writes the end of an attempt.
-func (l *Log) Ended(e Ended) {
+// AttemptEnded writes the end of an attempt.
+func (l *Log) AttemptEnded(e AttemptEnded) {
 	if l.Detailed() {
 		l.detail("attempt ended", requestID(e.Request), slog.Int("attempt", e.Attempt), slog.String("backend", e.Backend),
-			slog.String("status", e.Status), milliseconds("elapsed_ms", e.Elapsed), slog.Bool("kept", e.Kept))
+			slog.String("status", e.Status), milliseconds("elapsed_ms", e.Elapsed), slog.Bool("kept", e.Reusable))
 	}
 }
 
--- a/internal/eventlog/eventlog_test.go
+++ b/internal/eventlog/eventlog_test.go
@@ -13,12 +13,12 @@
 	log := New(&out, false)
 	all := func() {
 		log.State("serving")
-		log.Opened(1)
-		log.Taken(Taken{Request: 0xab, Client: 1, Left: time.Second})
-		log.Sent(Sent{Request: 0xab, Backend: "s-1", Kind: "first"})
-		log.Ended(Ended{Request: 0xab, Backend: "s-1", Status: "reset"})
-		log.Answered(Answered{Request: 0xab, End: "refused", Reason: "quota", After: 200 * time.Millisecond})
-		log.Closed(Closed{Client: 1, Reason: "left"})
+		log.ClientOpened(1)
+		log.RequestReceived(RequestReceived{Request: 0xab, Client: 1, TimeLeft: time.Second})
+		log.AttemptSent(AttemptSent{Request: 0xab, Backend: "s-1", Kind: "first"})
+		log.AttemptEnded(AttemptEnded{Request: 0xab, Backend: "s-1", Status: "reset"})
+		log.RequestFinished(RequestFinished{Request: 0xab, Outcome: "refused", Reason: "quota", RetryAfter: 200 * time.Millisecond})
+		log.ClientClosed(ClientClosed{Client: 1, Reason: "left"})
 		log.BackendClosed("s-1", "idle")
 	}
 	all()
@@ -26,7 +26,7 @@
 		t.Errorf("without detail it writes %q", out.String())
 	}
 	out.Reset()
-	log.Detail()
+	log.EnableDetail()
 	all()
 	if got := strings.Count(out.String(), "\n"); got != 8 {
 		t.Errorf("in detail it writes %d lines, want 8:\n%s", got, out.String())
@@ -41,9 +41,9 @@
 
 func TestNilLogWritesNothing(t *testing.T) {
 	var log *Log
-	log.Detail()
+	log.EnableDetail()
 	log.State("serving")
-	log.Opened(1)
+	log.ClientOpened(1)
 	if log.Detailed() {
 		t.Error("a nil Log is detailed")
 	}
--- a/internal/ingress/client.go
+++ b/internal/ingress/client.go
@@ -180,7 +180,7 @@
 
 // read takes commands until the client leaves, or sends what can't be read.
 func (c *client) read() {
-	c.server.cfg.Log.Opened(c.number)
+	c.server.cfg.Log.ClientOpened(c.number)
 	err := c.take()
 	switch {
 	case errors.Is(err, errLeft):
--- a/internal/ingress/client_end.go
+++ b/internal/ingress/client_end.go
@@ -59,7 +59,7 @@
 	c.mu.Lock()
 	owed, failed := c.owed, c.failed
 	c.mu.Unlock()
-	log.Closed(eventlog.Closed{Client: c.number, Reason: cmp.Or(failed, reason).Error(), Age: time.Since(c.opened),
+	log.ClientClosed(eventlog.ClientClosed{Client: c.number, Reason: cmp.Or(failed, reason).Error(), Age: time.Since(c.opened),
 		Answers: owed, Unread: waiting(c.nc)})
 }
 
--- a/internal/ingress/config.go
+++ b/internal/ingress/config.go
@@ -109,7 +109,7 @@
 // and is left out.
 func ReloadConfig(getenv func(string) string) (Config, error) {
 	return loadConfig(getenv, func(data []byte) (Config, error) {
-		rest, _, err := jsontext.Without(data, knownField, newPacer().pause)
+		rest, _, err := jsontext.ExtractField(data, knownField, newPacer().pause)
 		if err != nil {
 			return Config{}, err
 		}
@@ -148,7 +148,7 @@
 
 // ParseConfig decodes a configuration.
 func ParseConfig(data []byte) (Config, error) {
-	rest, known, err := jsontext.Without(data, knownField, nil)
+	rest, known, err := jsontext.ExtractField(data, knownField, nil)
 	if err != nil {
 		return Config{}, err
 	}
@@ -156,7 +156,7 @@
 	if err != nil || known == nil || string(known) == "null" {
 		return cfg, err
 	}
-	if cfg.Known, err = membership.Decode(known, &membership.Memo{}); err != nil {
+	if cfg.Known, err = membership.Decode(known, &membership.DecodeCache{}); err != nil {
 		return Config{}, fmt.Errorf("known: %w", err)
 	}
 	return cfg, nil
--- a/internal/ingress/control.go
+++ b/internal/ingress/control.go
@@ -54,7 +54,7 @@
 // anything of it.
 type Control struct {
 	core *core
-	memo membership.Memo
+	memo membership.DecodeCache
 }
 
 // NewControl makes a Control. applied, if it is not nil, is called with the
--- a/internal/ingress/discovery.go
+++ b/internal/ingress/discovery.go
@@ -113,7 +113,7 @@
 	heard    time.Time // its last word; zero: none
 	failures int       // calls without a word since the last one
 	have     bool      // a list
-	memo     membership.Memo
+	memo     membership.DecodeCache
 	retry    backoff.ExponentialBackOff
 	chance   func() float64 // from 0 to 1
 }
@@ -277,14 +277,14 @@
 	// Only an empty line, or the start of a list, is a word of the other side: a
 	// list that has begun and goes on for ever, or stops in its middle, is a
 	// silence like any other.
-	lists.Begun = heard
+	lists.OnListStart = heard
 	deliver := func(list membership.List) {
 		alarm.Stop() // while the list is taken in nobody listens: that is no silence of the other side
 		d.deliver(list)
 		alarm.Reset(d.silence)
 		told()
 	}
-	lists.Empty = func() {
+	lists.OnEmptyLine = func() {
 		heard()
 		deliver(membership.List{Revision: revision}) // nothing has changed
 	}
--- a/internal/ingress/loop.go
+++ b/internal/ingress/loop.go
@@ -126,7 +126,7 @@
 		return
 	}
 	left := time.Until(r.deadline)
-	l.cfg.Log.Taken(eventlog.Taken{Request: r.name, Client: r.from.number, Class: r.class, Customer: r.customer, Left: left})
+	l.cfg.Log.RequestReceived(eventlog.RequestReceived{Request: r.name, Client: r.from.number, Class: r.class, Customer: r.customer, TimeLeft: left})
 	l.gateway.Request(now, choice.Request{
 		ID: r.id, Class: r.class, Plan: r.plan, Customer: r.customer, TimeLeft: left,
 		Units: r.units, Spread: r.spread, First: r.first, Repeat: r.repeat,
@@ -199,8 +199,8 @@
 	r := a.request
 	r.out--
 	if l.cfg.Log.Detailed() {
-		l.cfg.Log.Ended(eventlog.Ended{Request: r.name, Attempt: a.number, Backend: a.to.name,
-			Status: answer.status.String(), Elapsed: elapsed, Kept: c != nil && !a.fresh})
+		l.cfg.Log.AttemptEnded(eventlog.AttemptEnded{Request: r.name, Attempt: a.number, Backend: a.to.name,
+			Status: answer.status.String(), Elapsed: elapsed, Reusable: c != nil && !a.fresh})
 	}
 	if answer.status == choice.OK {
 		l.over(r, "served", a.to.name, 0)
@@ -216,7 +216,7 @@
 // over writes that a request has its final answer, if it had none.
 func (l *loop) over(r *request, end, reason string, after time.Duration) {
 	if r != nil && !r.over && l.cfg.Log.Detailed() {
-		l.cfg.Log.Answered(eventlog.Answered{Request: r.name, End: end, Reason: reason, After: after, Attempts: len(r.attempts)})
+		l.cfg.Log.RequestFinished(eventlog.RequestFinished{Request: r.name, Outcome: end, Reason: reason, RetryAfter: after, Attempts: len(r.attempts)})
 	}
 }
 
@@ -329,7 +329,7 @@
 	r.out++
 	l.pool.start(a, backend)
 	if l.cfg.Log.Detailed() {
-		l.cfg.Log.Sent(eventlog.Sent{Request: r.name, Attempt: a.number, Backend: a.to.name, Kind: r.kind(), Timeout: timeout})
+		l.cfg.Log.AttemptSent(eventlog.AttemptSent{Request: r.name, Attempt: a.number, Backend: a.to.name, Kind: r.kind(), Timeout: timeout})
 	}
 }
 
--- a/internal/ingress/shutdown.go
+++ b/internal/ingress/shutdown.go
@@ -46,7 +46,7 @@
 // none is left: at the latest when the schedule says so, for the process may be
 // killed soon after.
 func (s *Server) shutDown(plan shutdown.Schedule, accepted <-chan error) {
-	s.cfg.Log.Detail() // what becomes of each request now is what matters
+	s.cfg.Log.EnableDetail() // what becomes of each request now is what matters
 	s.logState("draining")
 	s.loop.post(func(l *loop) { l.gateway.Stop(l.now(), plan.AnswerBy.Sub(l.start)) })
 	s.drain(false)
@@ -56,7 +56,7 @@
 	case <-s.empty:
 	case <-s.endOf(reading, plan):
 		s.stopReading()
-		last = plan.ReadingEnded(time.Now())
+		last = plan.WithReadEnd(time.Now())
 	}
 	select {
 	case <-s.empty:
--- a/internal/ingress/shutdown_test.go
+++ b/internal/ingress/shutdown_test.go
@@ -28,7 +28,7 @@
 	}
 	r.server.plan = func(begun time.Time, _ time.Duration) shutdown.Schedule {
 		end := begun.Add(farAway)
-		return shutdown.Schedule{Begun: begun, AcceptUntil: end, AnswerBy: end, ReadUntil: end, CloseBy: end, Kill: end}
+		return shutdown.Schedule{RequestedAt: begun, AcceptUntil: end, AnswerBy: end, ReadUntil: end, CloseBy: end, KillAt: end}
 	}
 	r.server.endOf = func(p phase, _ shutdown.Schedule) <-chan struct{} { return ends[p] }
 	return ends
@@ -255,7 +255,7 @@
 	r := newRig(t, func(cfg *Config) { cfg.Choice.Probing = false }, b.member("b"))
 	r.server.plan = func(begun time.Time, _ time.Duration) shutdown.Schedule {
 		over := begun.Add(-time.Millisecond)
-		return shutdown.Schedule{Begun: over, AcceptUntil: over, AnswerBy: over, ReadUntil: over, CloseBy: over, Kill: over}
+		return shutdown.Schedule{RequestedAt: over, AcceptUntil: over, AnswerBy: over, ReadUntil: over, CloseBy: over, KillAt: over}
 	}
 	waiting, halfway := r.dial(), r.dial()
 	pay(waiting)
--- a/internal/jsontext/jsontext.go
+++ b/internal/jsontext/jsontext.go
@@ -13,8 +13,8 @@
 // ErrSyntax tells that a text is not of the form that it should have.
 var ErrSyntax = errors.New("it can't be read as JSON")
 
-// Blanks are the characters that may stand between values.
-const Blanks = " \t\r\n"
+// Whitespace are the characters that may stand between values.
+const Whitespace = " \t\r\n"
 
 // Framer finds where a JSON object or array ends. It tells brackets from
 // strings, and nothing else. Its zero value is at the beginning of a text.
@@ -66,29 +66,29 @@
 // Cursor is a place in a text.
 type Cursor struct {
 	Text []byte
-	At   int
+	Offset   int
 }
 
-// SkipBlanks goes on to what is not blank.
-func (c *Cursor) SkipBlanks() {
-	for c.At < len(c.Text) && strings.IndexByte(Blanks, c.Text[c.At]) >= 0 {
-		c.At++
+// SkipWhitespace goes on to what is not blank.
+func (c *Cursor) SkipWhitespace() {
+	for c.Offset < len(c.Text) && strings.IndexByte(Whitespace, c.Text[c.Offset]) >= 0 {
+		c.Offset++
 	}
 }
 
-// Next goes behind a character, if that comes next but for blanks.
-func (c *Cursor) Next(want byte) bool {
-	c.SkipBlanks()
-	if c.At < len(c.Text) && c.Text[c.At] == want {
-		c.At++
+// Accept goes behind a character, if that comes next but for blanks.
+func (c *Cursor) Accept(want byte) bool {
+	c.SkipWhitespace()
+	if c.Offset < len(c.Text) && c.Text[c.Offset] == want {
+		c.Offset++
 		return true
 	}
 	return false
 }
 
-// Value decodes the value that comes next, and goes behind it.
-func (c *Cursor) Value(into any) error {
-	raw := c.Raw(nil)
+// DecodeValue decodes the value that comes next, and goes behind it.
+func (c *Cursor) DecodeValue(into any) error {
+	raw := c.RawValue(nil)
 	if err := json.Unmarshal(raw, into); err != nil {
 		return fmt.Errorf("%w: %w", ErrSyntax, err)
 	}
@@ -98,18 +98,18 @@
 // pauseEvery is how many bytes are passed between two calls of a pause.
 const pauseEvery = 32 << 10
 
-// Raw goes behind the value that comes next, and returns its text as far as its
+// RawValue goes behind the value that comes next, and returns its text as far as its
 // form tells. pause, if it is not nil, is called now and then.
-func (c *Cursor) Raw(pause func()) []byte {
-	c.SkipBlanks()
-	start := c.At
+func (c *Cursor) RawValue(pause func()) []byte {
+	c.SkipWhitespace()
+	start := c.Offset
 	rest := c.Text[start:]
 	if len(rest) > 0 && (rest[0] == '{' || rest[0] == '[') {
-		c.At += bracketed(rest, pause)
+		c.Offset += bracketed(rest, pause)
 	} else {
-		c.At += plainLength(rest)
+		c.Offset += plainLength(rest)
 	}
-	return c.Text[start:c.At]
+	return c.Text[start:c.Offset]
 }
 
 // bracketed is the length of an object or array, or that of the text if it does not end.
@@ -138,68 +138,68 @@
 			}
 		case c == '"' && i == 0:
 			f.quoted = true
-		case strings.IndexByte(",:]}"+Blanks, c) >= 0:
+		case strings.IndexByte(",:]}"+Whitespace, c) >= 0:
 			return i
 		}
 	}
 	return len(text)
 }
 
-// Object goes through the fields of the object that comes next, and behind it.
+// ForEachField goes through the fields of the object that comes next, and behind it.
 // field is called at the value of each, and has to go behind that.
-func (c *Cursor) Object(field func(name string) error) error {
-	if !c.Next('{') {
+func (c *Cursor) ForEachField(field func(name string) error) error {
+	if !c.Accept('{') {
 		return ErrSyntax
 	}
-	if c.Next('}') {
+	if c.Accept('}') {
 		return nil
 	}
 	for {
 		var name string
-		if err := c.Value(&name); err != nil || !c.Next(':') {
+		if err := c.DecodeValue(&name); err != nil || !c.Accept(':') {
 			return ErrSyntax
 		}
 		if err := field(name); err != nil {
 			return err
 		}
-		if c.Next('}') {
+		if c.Accept('}') {
 			return nil
 		}
-		if !c.Next(',') {
+		if !c.Accept(',') {
 			return ErrSyntax
 		}
 	}
 }
 
-// Array goes through the elements of the array that comes next, and behind it.
+// ForEachElement goes through the elements of the array that comes next, and behind it.
 // element is called at each, and has to go behind it.
-func (c *Cursor) Array(element func() error) error {
-	if !c.Next('[') {
+func (c *Cursor) ForEachElement(element func() error) error {
+	if !c.Accept('[') {
 		return ErrSyntax
 	}
-	if c.Next(']') {
+	if c.Accept(']') {
 		return nil
 	}
 	for {
 		if err := element(); err != nil {
 			return err
 		}
-		if c.Next(']') {
+		if c.Accept(']') {
 			return nil
 		}
-		if !c.Next(',') {
+		if !c.Accept(',') {
 			return ErrSyntax
 		}
 	}
 }
 
-// Without returns the text of an object less the fields of one name, in any
+// ExtractField returns the text of an object less the fields of one name, in any
 // case of its letters, and the value of the last of these; nil if there is none.
-func Without(text []byte, name string, pause func()) (rest, value []byte, err error) {
+func ExtractField(text []byte, name string, pause func()) (rest, value []byte, err error) {
 	c := Cursor{Text: text}
 	rest = append(rest, '{')
-	err = c.Object(func(found string) error {
-		raw := c.Raw(pause)
+	err = c.ForEachField(func(found string) error {
+		raw := c.RawValue(pause)
 		if strings.EqualFold(found, name) {
 			value = raw
 			return nil
@@ -217,7 +217,7 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	if c.SkipBlanks(); c.At < len(text) {
+	if c.SkipWhitespace(); c.Offset < len(text) {
 		return nil, nil, ErrSyntax
 	}
 	return append(rest, '}'), value, nil
--- a/internal/jsontext/jsontext_test.go
+++ b/internal/jsontext/jsontext_test.go
@@ -80,7 +80,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		object := drawObject(t, 3)
 		pauses := 0
-		rest, value, err := Without(drawText(t, object), "known", func() { pauses++ })
+		rest, value, err := ExtractField(drawText(t, object), "known", func() { pauses++ })
 		if err != nil {
 			t.Fatalf("%v", err)
 		}
@@ -105,7 +105,7 @@
 
 func TestWhatIsNoObjectIsRefused(t *testing.T) {
 	for _, text := range []string{"", "[]", "{", `{"a"}`, `{"a":1,}`, `{"a":1 "b":2}`, `{a:1}`, `{"a":1}x`, `{"a":1]`, `{5:1}`} {
-		if rest, _, err := Without([]byte(text), "known", nil); !errors.Is(err, ErrSyntax) {
+		if rest, _, err := ExtractField([]byte(text), "known", nil); !errors.Is(err, ErrSyntax) {
 			t.Errorf("%q gives %s, %v", text, rest, err)
 		}
 	}
@@ -119,7 +119,7 @@
 		t.Fatal(err)
 	}
 	pauses := 0
-	rest, value, err := Without(text, "known", func() { pauses++ })
+	rest, value, err := ExtractField(text, "known", func() { pauses++ })
 	if err != nil || string(rest) != `{"a":1}` || pauses < len(value)/pauseEvery {
 		t.Errorf("left is %s, %v, with %d pauses in %d bytes", rest, err, pauses, len(value))
 	}
--- a/internal/membership/decoder.go
+++ b/internal/membership/decoder.go
@@ -24,10 +24,10 @@
 	readMost  = 32 << 10
 )
 
-// Memo remembers the last complete list that was decoded. A line that stands
+// DecodeCache remembers the last complete list that was decoded. A line that stands
 // again, letter by letter, in the next one is not decoded again. It may serve
 // one Decoder after another, and its zero value is empty.
-type Memo struct {
+type DecodeCache struct {
 	text  []byte
 	lines []memoLine
 	place map[string]int // of a line, by its member's id; made when it is needed
@@ -42,24 +42,24 @@
 // one line or on several, with empty lines between them.
 type Decoder struct {
 	Pause func() // called now and then while a list is decoded; nil: never
-	Begun func() // called when a list begins to come; nil: never
-	Empty func() // called for an empty line; nil: never
+	OnListStart func() // called when a list begins to come; nil: never
+	OnEmptyLine func() // called for an empty line; nil: never
 
 	from io.Reader
 	most int // bytes of one list
-	memo *Memo
+	memo *DecodeCache
 	text []byte // what was read
 	done int    // bytes of it that are decoded
 	kept bool   // the memo has taken them
 }
 
 // NewDecoder returns a decoder of lists of so many bytes at most.
-func NewDecoder(from io.Reader, most int, memo *Memo) *Decoder {
+func NewDecoder(from io.Reader, most int, memo *DecodeCache) *Decoder {
 	return &Decoder{from: from, most: most, memo: memo}
 }
 
 // Decode returns the list that stands alone in a text.
-func Decode(text []byte, memo *Memo) (List, error) {
+func Decode(text []byte, memo *DecodeCache) (List, error) {
 	return NewDecoder(bytes.NewReader(text), len(text), memo).Next(0)
 }
 
@@ -70,11 +70,11 @@
 		return List{}, err
 	}
 	p := parser{Cursor: jsontext.Cursor{Text: text}, pause: d.Pause, memo: d.memo, list: List{Revision: revision}}
-	if err := p.Object(p.field); err != nil {
+	if err := p.ForEachField(p.field); err != nil {
 		return List{}, fmt.Errorf("membership: %w", err)
 	}
 	if d.kept = p.list.Complete; d.kept {
-		*d.memo = Memo{text: text, lines: p.lines}
+		*d.memo = DecodeCache{text: text, lines: p.lines}
 	}
 	return p.list, nil
 }
@@ -84,7 +84,7 @@
 	d.discard()
 	var f jsontext.Framer
 	if len(d.text) > 0 {
-		call(d.Begun)
+		call(d.OnListStart)
 	}
 	for {
 		if end := f.Scan(d.text); end > 0 {
@@ -105,7 +105,7 @@
 // discard drops what is decoded. A list behind one that the memo has taken is
 // likely to be complete, and as long.
 func (d *Decoder) discard() {
-	rest := bytes.TrimLeft(d.text[d.done:], jsontext.Blanks)
+	rest := bytes.TrimLeft(d.text[d.done:], jsontext.Whitespace)
 	if d.kept {
 		d.text = append(make([]byte, 0, max(d.done+readMost, len(rest))), rest...)
 	} else {
@@ -124,12 +124,12 @@
 	came := d.text[before : before+n]
 	d.text = d.text[:before+n]
 	if before == 0 {
-		d.text = append(d.text[:0], bytes.TrimLeft(came, jsontext.Blanks)...)
+		d.text = append(d.text[:0], bytes.TrimLeft(came, jsontext.Whitespace)...)
 		switch {
 		case len(d.text) > 0:
-			call(d.Begun)
+			call(d.OnListStart)
 		case bytes.IndexByte(came, '\n') >= 0:
-			call(d.Empty)
+			call(d.OnEmptyLine)
 		}
 	}
 	if n > 0 {
@@ -148,7 +148,7 @@
 type parser struct {
 	jsontext.Cursor
 	pause func()
-	memo  *Memo
+	memo  *DecodeCache
 	hint  int  // line of the memo that is likely to come next
 	part  bool // the list has said that it is not complete
 	list  List
@@ -159,30 +159,30 @@
 func (p *parser) field(name string) error {
 	switch strings.ToLower(name) {
 	case "revision":
-		return p.Value(&p.list.Revision)
+		return p.DecodeValue(&p.list.Revision)
 	case "complete":
-		err := p.Value(&p.list.Complete)
+		err := p.DecodeValue(&p.list.Complete)
 		p.part = !p.list.Complete
 		return err
 	case "members":
 		return p.members()
 	}
 	var unknown json.RawMessage
-	return p.Value(&unknown)
+	return p.DecodeValue(&unknown)
 }
 
 // members reads the array of lines. Null stands for none.
 func (p *parser) members() error {
 	p.list.Members, p.lines = nil, nil
-	if p.SkipBlanks(); p.At < len(p.Text) && p.Text[p.At] != '[' {
+	if p.SkipWhitespace(); p.Offset < len(p.Text) && p.Text[p.Offset] != '[' {
 		var none []struct{}
-		return p.Value(&none)
+		return p.DecodeValue(&none)
 	}
 	if !p.part {
 		p.list.Members, p.lines = make([]*Member, 0, len(p.memo.lines)), make([]memoLine, 0, len(p.memo.lines))
 	}
-	return p.Array(func() error {
-		if len(p.lines)%PauseEvery == 0 {
+	return p.ForEachElement(func() error {
+		if len(p.lines)%MembersPerPause == 0 {
 			call(p.pause)
 		}
 		return p.line()
@@ -191,18 +191,18 @@
 
 // line reads one member, or takes it from the memo.
 func (p *parser) line() error {
-	p.SkipBlanks()
-	start := p.At
+	p.SkipWhitespace()
+	start := p.Offset
 	m := p.remembered()
 	if m == nil {
 		m = &Member{}
-		if err := p.Value(m); err != nil {
+		if err := p.DecodeValue(m); err != nil {
 			return err
 		}
 		p.resume(m.ID)
 	}
 	p.list.Members = append(p.list.Members, m)
-	p.lines = append(p.lines, memoLine{start, p.At, m})
+	p.lines = append(p.lines, memoLine{start, p.Offset, m})
 	return nil
 }
 
@@ -214,11 +214,11 @@
 	}
 	l := p.memo.lines[p.hint]
 	text := p.memo.text[l.start:l.end]
-	if !bytes.HasPrefix(p.Text[p.At:], text) {
+	if !bytes.HasPrefix(p.Text[p.Offset:], text) {
 		return nil
 	}
 	p.hint++
-	p.At += len(text)
+	p.Offset += len(text)
 	return l.Member
 }
 
@@ -241,7 +241,7 @@
 }
 
 // find returns the place of a member's line.
-func (m *Memo) find(id string) (place int, known bool) {
+func (m *DecodeCache) find(id string) (place int, known bool) {
 	if m.place == nil {
 		m.place = make(map[string]int, len(m.lines))
 		for i, l := range m.lines {
--- a/internal/membership/decoder_test.go
+++ b/internal/membership/decoder_test.go
@@ -69,7 +69,7 @@
 		if rapid.Bool().Draw(t, "bytewise") {
 			reader = iotest.OneByteReader(reader)
 		}
-		d := NewDecoder(reader, bound, &Memo{})
+		d := NewDecoder(reader, bound, &DecodeCache{})
 		for i, list := range want {
 			if got, err := d.Next(0); err != nil || !sameList(got, list) {
 				t.Fatalf("list %d is read as %+v, %v; want %+v", i, got, err, list)
@@ -82,7 +82,7 @@
 }
 
 func TestListWithoutARevisionHasTheOneGiven(t *testing.T) {
-	d := NewDecoder(strings.NewReader(`{"members":null} {}`), bound, &Memo{})
+	d := NewDecoder(strings.NewReader(`{"members":null} {}`), bound, &DecodeCache{})
 	for range 2 {
 		if l, err := d.Next(7); err != nil || l.Revision != 7 || l.Complete || len(l.Members) > 0 {
 			t.Errorf("%+v, %v", l, err)
@@ -94,7 +94,7 @@
 	for _, text := range []string{"x", "[]", "5", `"{}"`, "{]", "{,}", `{"revision":1,}`, `{"revision" 1}`, `{"revision":1 2}`,
 		`{"revision":x}`, `{"revision":"1"}`, `{"members":{}}`, `{"members":5}`, `{"members":[{},]}`, `{"members":[{} {}]}`,
 		`{"members":[5]}`, `{"members":[{"id":5}]}`, `{"members":[{"id"]}]}`, `{5:6}`, `{"unknown":[}]`, `{"unknown":nul}`, "}"} {
-		if l, err := Decode([]byte(text), &Memo{}); !errors.Is(err, jsontext.ErrSyntax) {
+		if l, err := Decode([]byte(text), &DecodeCache{}); !errors.Is(err, jsontext.ErrSyntax) {
 			t.Errorf("%s is read as %+v, %v", text, l, err)
 		}
 	}
@@ -102,10 +102,10 @@
 
 func TestListWithoutEndIsRefused(t *testing.T) {
 	endless := io.MultiReader(strings.NewReader(`{"members":[`), iotest.DataErrReader(strings.NewReader(strings.Repeat(`{},`, bound))))
-	if _, err := NewDecoder(endless, bound, &Memo{}).Next(0); !errors.Is(err, ErrTooLong) {
+	if _, err := NewDecoder(endless, bound, &DecodeCache{}).Next(0); !errors.Is(err, ErrTooLong) {
 		t.Errorf("the error is %v, want ErrTooLong", err)
 	}
-	if _, err := Decode([]byte(`{"members":[{}`), &Memo{}); !errors.Is(err, io.EOF) {
+	if _, err := Decode([]byte(`{"members":[{}`), &DecodeCache{}); !errors.Is(err, io.EOF) {
 		t.Errorf("the error of half a list is %v, want io.EOF", err)
 	}
 }
@@ -126,9 +126,9 @@
 func TestEmptyLinesAndStartsAreTold(t *testing.T) {
 	var told []string
 	stream := &parts{"\n", " ", "\r\n", "{", "\n", `"revision":1`, "}\n", "\n", `{"revision":2}{`, `"revision":3}`}
-	d := NewDecoder(stream, bound, &Memo{})
-	d.Empty = func() { told = append(told, "empty") }
-	d.Begun = func() { told = append(told, "begun") }
+	d := NewDecoder(stream, bound, &DecodeCache{})
+	d.OnEmptyLine = func() { told = append(told, "empty") }
+	d.OnListStart = func() { told = append(told, "begun") }
 	for {
 		l, err := d.Next(0)
 		if err != nil {
@@ -146,7 +146,7 @@
 func TestLinesThatStandAgainAreNotDecodedAgain(t *testing.T) {
 	allocations := func(size int) float64 {
 		list := fleet(size)
-		memo := &Memo{}
+		memo := &DecodeCache{}
 		turn := 0
 		return testing.AllocsPerRun(20, func() {
 			turn++
@@ -176,7 +176,7 @@
 // Lines that come, go, and change places are read right beside those that stand again.
 func TestMemoFollowsLinesThatMove(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		memo := &Memo{}
+		memo := &DecodeCache{}
 		for range 3 {
 			list := List{Complete: true}
 			for _, i := range rapid.SliceOfN(rapid.IntRange(0, 200), 0, 2*searchFrom).Draw(t, "lines") {
@@ -199,10 +199,10 @@
 	f.Add([]byte(`{"complete":true,"members":[{"id":"a"}]}`), []byte(`{"members":[{"id":"a"}x]}`))
 	f.Add([]byte(`{"complete":true,"members":[null,{}]}`), []byte(`{"members":[null],"members":[{"id":""}]}`))
 	f.Fuzz(func(t *testing.T, first, second []byte) {
-		memo := &Memo{}
+		memo := &DecodeCache{}
 		Decode(first, memo)
 		got, gotErr := Decode(second, memo)
-		want, wantErr := Decode(second, &Memo{})
+		want, wantErr := Decode(second, &DecodeCache{})
 		if (gotErr == nil) != (wantErr == nil) || !sameList(got, want) {
 			t.Errorf("with a memo %+v, %v; without %+v, %v", got, gotErr, want, wantErr)
 		}
@@ -215,14 +215,14 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		for name, memo := range map[string]*Memo{"first": nil, "again": {}} {
+		for name, memo := range map[string]*DecodeCache{"first": nil, "again": {}} {
 			b.Run(fmt.Sprint(name, "/", size), func(b *testing.B) {
 				b.SetBytes(int64(len(text)))
 				b.ReportAllocs()
 				for b.Loop() {
 					used := memo
 					if used == nil {
-						used = &Memo{}
+						used = &DecodeCache{}
 					}
 					if _, err := Decode(text, used); err != nil {
 						b.Fatal(err)
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -43,8 +43,8 @@
 	known     State  // as last returned
 }
 
-// PauseEvery is how many lines are taken between two calls of a pause.
-const PauseEvery = 32
+// MembersPerPause is how many lines are taken between two calls of a pause.
+const MembersPerPause = 32
 
 // NewView returns a view without backends.
 func NewView() *View {
@@ -78,7 +78,7 @@
 	}
 	var displaced []*entry
 	for i := range lines {
-		if i%PauseEvery == 0 {
+		if i%MembersPerPause == 0 {
 			call(pause)
 		}
 		if other := v.claim(lines[i].entry); other != nil {
@@ -92,7 +92,7 @@
 // member, in the order of the list.
 func (v *View) compare(list List, pause func()) (lines []pending) {
 	for i, m := range list.Members {
-		if i%PauseEvery == 0 {
+		if i%MembersPerPause == 0 {
 			call(pause)
 		}
 		v.told++
--- a/internal/membership/view_test.go
+++ b/internal/membership/view_test.go
@@ -246,8 +246,8 @@
 	const size = 1000
 	view, pauses := NewView(), 0
 	view.Apply(fleet(size), func() { pauses++ })
-	if pauses < 2*size/PauseEvery {
-		t.Errorf("%d pauses for %d lines, want one in %d lines, twice", pauses, size, PauseEvery)
+	if pauses < 2*size/MembersPerPause {
+		t.Errorf("%d pauses for %d lines, want one in %d lines, twice", pauses, size, MembersPerPause)
 	}
 }
 
--- a/internal/shutdown/schedule.go
+++ b/internal/shutdown/schedule.go
@@ -48,12 +48,12 @@
 // AnswerBy, ReadUntil, CloseBy and Kill follow in this order. AcceptUntil lies
 // before ReadUntil, and after AnswerBy where deadlines are short.
 type Schedule struct {
-	Begun       time.Time // the process was told to end
+	RequestedAt       time.Time // the process was told to end
 	AcceptUntil time.Time // clients still connect
 	AnswerBy    time.Time // every request has its final answer; one read later is answered at once
 	ReadUntil   time.Time // nothing is accepted or read from then on
 	CloseBy     time.Time // every connection is closed, and the process ends
-	Kill        time.Time // the process may be killed
+	KillAt        time.Time // the process may be killed
 }
 
 // NewSchedule plans a stop that was asked for at a time, for a process whose
@@ -63,18 +63,18 @@
 	closeBy := kill.Add(-holdUp - delivery)
 	readUntil := closeBy.Add(-lastClose)
 	return Schedule{
-		Begun:       begun,
+		RequestedAt:       begun,
 		AcceptUntil: earlier(begun.Add(acceptFor), readUntil),
 		AnswerBy:    readUntil.Add(-lastRead),
 		ReadUntil:   readUntil,
 		CloseBy:     closeBy,
-		Kill:        kill,
+		KillAt:        kill,
 	}
 }
 
-// ReadingEnded returns the schedule of a process that has noticed the end of
+// WithReadEnd returns the schedule of a process that has noticed the end of
 // reading at a time: what it has read just before is still to be answered.
-func (s Schedule) ReadingEnded(at time.Time) Schedule {
+func (s Schedule) WithReadEnd(at time.Time) Schedule {
 	if least := at.Add(lastAnswers); s.CloseBy.Before(least) {
 		s.CloseBy = least
 	}
@@ -88,16 +88,16 @@
 	return b
 }
 
-// Requested is the cause of a context that ended because the process was told to
+// RequestedError is the cause of a context that ended because the process was told to
 // end.
-type Requested struct{ At time.Time }
+type RequestedError struct{ At time.Time }
 
-func (r Requested) Error() string { return "the process was told to end" }
+func (r RequestedError) Error() string { return "the process was told to end" }
 
 // RequestedAt returns when the end of a context was asked for: the time of its
 // cause if that is a Requested, and now otherwise.
 func RequestedAt(ctx context.Context) time.Time {
-	var cause Requested
+	var cause RequestedError
 	if errors.As(context.Cause(ctx), &cause) {
 		return cause.At
 	}
--- a/internal/shutdown/schedule_test.go
+++ b/internal/shutdown/schedule_test.go
@@ -16,10 +16,10 @@
 		3 * time.Second: 3700 * time.Millisecond, 15 * time.Second: 3700 * time.Millisecond,
 	} {
 		s := NewSchedule(begun, longest)
-		if got := s.Kill.Sub(begun); got != kill {
+		if got := s.KillAt.Sub(begun); got != kill {
 			t.Errorf("deadline %v: killed after %v, want %v", longest, got, kill)
 		}
-		phases := []time.Time{s.Begun, s.AnswerBy, s.ReadUntil, s.CloseBy, s.Kill}
+		phases := []time.Time{s.RequestedAt, s.AnswerBy, s.ReadUntil, s.CloseBy, s.KillAt}
 		for i := 1; i < len(phases); i++ {
 			if !phases[i].After(phases[i-1]) {
 				t.Errorf("deadline %v: phase %d ends %v after the one before", longest, i, phases[i].Sub(phases[i-1]))
@@ -28,7 +28,7 @@
 		if s.AcceptUntil.After(s.ReadUntil) {
 			t.Errorf("deadline %v: clients are accepted until %v, and read until %v", longest, s.AcceptUntil, s.ReadUntil)
 		}
-		if left := s.Kill.Sub(s.CloseBy); left < holdUp {
+		if left := s.KillAt.Sub(s.CloseBy); left < holdUp {
 			t.Errorf("deadline %v: %v are left at the end, a process is held up for %v", longest, left, holdUp)
 		}
 	}
@@ -49,23 +49,23 @@
 // and still ends before the kill.
 func TestLastAnswersHaveTimeAfterAHoldUp(t *testing.T) {
 	s := NewSchedule(time.Now(), time.Second)
-	if onTime := s.ReadingEnded(s.ReadUntil); !onTime.CloseBy.Equal(s.CloseBy) {
+	if onTime := s.WithReadEnd(s.ReadUntil); !onTime.CloseBy.Equal(s.CloseBy) {
 		t.Errorf("with no hold-up the end moves by %v", onTime.CloseBy.Sub(s.CloseBy))
 	}
 	noticed := s.ReadUntil.Add(holdUp)
-	late := s.ReadingEnded(noticed)
+	late := s.WithReadEnd(noticed)
 	if left := late.CloseBy.Sub(noticed); left < lastAnswers {
 		t.Errorf("%v are left for the last answers, want %v", left, lastAnswers)
 	}
-	if !late.CloseBy.Before(s.Kill) {
-		t.Errorf("it ends %v after the kill", late.CloseBy.Sub(s.Kill))
+	if !late.CloseBy.Before(s.KillAt) {
+		t.Errorf("it ends %v after the kill", late.CloseBy.Sub(s.KillAt))
 	}
 }
 
 func TestStopCountsFromTheSignal(t *testing.T) {
 	at := time.Now().Add(-time.Minute)
 	ctx, cancel := context.WithCancelCause(t.Context())
-	cancel(Requested{At: at})
+	cancel(RequestedError{At: at})
 	if got := RequestedAt(ctx); !got.Equal(at) {
 		t.Errorf("asked for %v after the signal", got.Sub(at))
 	}
