--- a/internal/eventlog/eventlog.go
+++ b/internal/eventlog/eventlog.go
@@ -101,7 +101,7 @@
 	Client   uint64
 	Class    int
 	Customer uint64
-	TimeLeft     time.Duration // to its final answer
+	TimeLeft time.Duration // to its final answer
 }
 
 // RequestReceived writes that a request was taken.
@@ -114,11 +114,11 @@
 
 // RequestFinished is the final answer of a request.
 type RequestFinished struct {
-	Request  uint64
-	Outcome      string // served, refused, failed or gone
-	Reason   string
-	RetryAfter    time.Duration // advice with a refusal
-	Attempts int
+	Request    uint64
+	Outcome    string // served, refused, failed or gone
+	Reason     string
+	RetryAfter time.Duration // advice with a refusal
+	Attempts   int
 }
 
 // RequestFinished writes the final answer of a request.
@@ -148,12 +148,12 @@
 
 // AttemptEnded is the end of an attempt.
 type AttemptEnded struct {
-	Request uint64
-	Attempt int
-	Backend string
-	Status  string
-	Elapsed time.Duration
-	Reusable    bool // its connection can be used again
+	Request  uint64
+	Attempt  int
+	Backend  string
+	Status   string
+	Elapsed  time.Duration
+	Reusable bool // its connection can be used again
 }
 
 // AttemptEnded writes the end of an attempt.
--- a/internal/jsontext/jsontext.go
+++ b/internal/jsontext/jsontext.go
@@ -65,8 +65,8 @@
 
 // Cursor is a place in a text.
 type Cursor struct {
-	Text []byte
-	Offset   int
+	Text   []byte
+	Offset int
 }
 
 // SkipWhitespace goes on to what is not blank.
--- a/internal/membership/decoder.go
+++ b/internal/membership/decoder.go
@@ -41,7 +41,7 @@
 // Decoder reads lists that stand one behind another on a connection, each on
 // one line or on several, with empty lines between them.
 type Decoder struct {
-	Pause func() // called now and then while a list is decoded; nil: never
+	Pause       func() // called now and then while a list is decoded; nil: never
 	OnListStart func() // called when a list begins to come; nil: never
 	OnEmptyLine func() // called for an empty line; nil: never
 
--- a/internal/shutdown/schedule.go
+++ b/internal/shutdown/schedule.go
@@ -48,12 +48,12 @@
 // AnswerBy, ReadUntil, CloseBy and Kill follow in this order. AcceptUntil lies
 // before ReadUntil, and after AnswerBy where deadlines are short.
 type Schedule struct {
-	RequestedAt       time.Time // the process was told to end
+	RequestedAt time.Time // the process was told to end
 	AcceptUntil time.Time // clients still connect
 	AnswerBy    time.Time // every request has its final answer; one read later is answered at once
 	ReadUntil   time.Time // nothing is accepted or read from then on
 	CloseBy     time.Time // every connection is closed, and the process ends
-	KillAt        time.Time // the process may be killed
+	KillAt      time.Time // the process may be killed
 }
 
 // NewSchedule plans a stop that was asked for at a time, for a process whose
@@ -63,12 +63,12 @@
 	closeBy := kill.Add(-holdUp - delivery)
 	readUntil := closeBy.Add(-lastClose)
 	return Schedule{
-		RequestedAt:       begun,
+		RequestedAt: begun,
 		AcceptUntil: earlier(begun.Add(acceptFor), readUntil),
 		AnswerBy:    readUntil.Add(-lastRead),
 		ReadUntil:   readUntil,
 		CloseBy:     closeBy,
-		KillAt:        kill,
+		KillAt:      kill,
 	}
 }
 
