--- a/internal/ingress/client.go
+++ b/internal/ingress/client.go
@@ -180,7 +180,7 @@
 
 // read takes commands until the client leaves, or sends what can't be read.
 func (c *client) serve() {
-	c.server.cfg.Log.Opened(c.id)
+	c.server.cfg.Log.ClientOpened(c.id)
 	err := c.readCommands()
 	switch {
 	case errors.Is(err, errClientDisconnected):
--- a/internal/ingress/client_end.go
+++ b/internal/ingress/client_end.go
@@ -59,7 +59,7 @@
 	c.mu.Lock()
 	answers, closeErr := c.answers, c.closeErr
 	c.mu.Unlock()
-	log.Closed(eventlog.Closed{Client: c.id, Reason: cmp.Or(closeErr, reason).Error(), Age: time.Since(c.opened),
+	log.ClientClosed(eventlog.ClientClosed{Client: c.id, Reason: cmp.Or(closeErr, reason).Error(), Age: time.Since(c.opened),
 		Answers: answers, Unread: waiting(c.nc)})
 }
 
