--- a/cmd/scale/main.go
+++ b/cmd/scale/main.go
@@ -22,9 +22,9 @@
 
 // The exit codes.
 const (
-	exitDone       = 0
+	exitOK         = 0
 	exitOverBudget = 1
-	exitUnusable   = 2 // bad flags, or what the run needs is missing
+	exitError      = 2 // bad flags, or what the run needs is missing
 )
 
 // errOverBudget tells that a figure breaks its budget.
@@ -40,8 +40,8 @@
 	Logs string `help:"Least level of the log lines on standard error." enum:"debug,info,warn,error" default:"info"`
 }
 
-// log sends log lines of the level asked for, or of a higher one, to w.
-func (c *commands) log(w io.Writer) error {
+// configureLogging sends configureLogging lines of the level asked for, or of a higher one, to w.
+func (c *commands) configureLogging(w io.Writer) error {
 	var level slog.Level
 	if err := level.UnmarshalText([]byte(c.Logs)); err != nil {
 		return err
@@ -78,24 +78,24 @@
 }
 
 const (
-	sizesLeast   = 2 // a slope needs
-	largestSize  = 100_000
-	mostRepeats  = 100
-	smallestSize = 80 // room for two racks
+	minSizes   = 2 // a slope needs
+	maxSize    = 100_000
+	maxRepeats = 100
+	minSize    = 80 // room for two racks
 )
 
 // Validate tells what of the flags can't be used.
 func (c *slopesCommand) Validate() error {
 	for _, sizes := range [][]int{c.Backends, c.Tenants, c.Connections} {
-		if len(sizes) < sizesLeast {
-			return fmt.Errorf("%v: a slope needs %d sizes at least", sizes, sizesLeast)
+		if len(sizes) < minSizes {
+			return fmt.Errorf("%v: a slope needs %d sizes at least", sizes, minSizes)
 		}
-		if least, most := slices.Min(sizes), slices.Max(sizes); least < smallestSize || most > largestSize {
-			return fmt.Errorf("%v: sizes are from %d to %d", sizes, smallestSize, largestSize)
+		if smallest, largest := slices.Min(sizes), slices.Max(sizes); smallest < minSize || largest > maxSize {
+			return fmt.Errorf("%v: sizes are from %d to %d", sizes, minSize, maxSize)
 		}
 	}
-	if c.Repeats < 1 || c.Repeats > mostRepeats {
-		return fmt.Errorf("--repeats is from 1 to %d", mostRepeats)
+	if c.Repeats < 1 || c.Repeats > maxRepeats {
+		return fmt.Errorf("--repeats is from 1 to %d", maxRepeats)
 	}
 	return nil
 }
@@ -127,9 +127,9 @@
 }
 
 const (
-	mostIngresses = 5000
-	mostRate      = 2000
-	longestPart   = 10 * time.Minute
+	maxIngresses     = 5000
+	maxRate          = 2000
+	maxPhaseDuration = 10 * time.Minute
 )
 
 func (c *runCommand) options() scale.RunOptions {
@@ -140,18 +140,18 @@
 // Validate tells what of the flags can't be used.
 func (c *runCommand) Validate() error {
 	switch {
-	case c.Ingresses < 2 || c.Ingresses > mostIngresses:
-		return fmt.Errorf("--ingresses is from 2 to %d", mostIngresses)
-	case c.Backends < smallestSize || c.Backends > largestSize:
-		return fmt.Errorf("--backends is from %d to %d", smallestSize, largestSize)
-	case !(c.Rate > 0) || c.Rate > mostRate:
-		return fmt.Errorf("--rate is above 0 and at most %d", mostRate)
+	case c.Ingresses < 2 || c.Ingresses > maxIngresses:
+		return fmt.Errorf("--ingresses is from 2 to %d", maxIngresses)
+	case c.Backends < minSize || c.Backends > maxSize:
+		return fmt.Errorf("--backends is from %d to %d", minSize, maxSize)
+	case !(c.Rate > 0) || c.Rate > maxRate:
+		return fmt.Errorf("--rate is above 0 and at most %d", maxRate)
 	case !(c.Replaced > 0) || c.Replaced > 1:
 		return errors.New("--replaced is above 0 and at most 1")
 	}
-	for _, length := range []time.Duration{c.Quiet, c.Release, c.Zone, c.Cut} {
-		if length < 0 || length > longestPart {
-			return fmt.Errorf("a part of the timeline lasts from 0 to %v", longestPart)
+	for _, duration := range []time.Duration{c.Quiet, c.Release, c.Zone, c.Cut} {
+		if duration < 0 || duration > maxPhaseDuration {
+			return fmt.Errorf("a part of the timeline lasts from 0 to %v", maxPhaseDuration)
 		}
 	}
 	return nil
@@ -171,7 +171,7 @@
 	if err := c.write(stdout, result.Markdown(), result); err != nil {
 		return err
 	}
-	if result.Over() && c.Budgets == "enforce" {
+	if result.OverBudget() && c.Budgets == "enforce" {
 		return errOverBudget
 	}
 	return nil
@@ -185,8 +185,8 @@
 
 // Validate tells what of the flags can't be used.
 func (c *listCommand) Validate() error {
-	if c.Repeats < 1 || c.Repeats > mostRepeats {
-		return fmt.Errorf("--repeats is from 1 to %d", mostRepeats)
+	if c.Repeats < 1 || c.Repeats > maxRepeats {
+		return fmt.Errorf("--repeats is from 1 to %d", maxRepeats)
 	}
 	return nil
 }
@@ -200,7 +200,7 @@
 	if err := c.write(stdout, cost.Markdown(), cost); err != nil {
 		return err
 	}
-	if cost.Over() {
+	if cost.OverBudget() {
 		return errOverBudget
 	}
 	return nil
@@ -210,7 +210,7 @@
 
 // Run runs the ingresses that the standard input specifies.
 func (hollowCommand) Run(ctx context.Context, stdout io.Writer) error {
-	return scale.RunHollow(ctx, os.Stdin, stdout)
+	return scale.RunControlPlanes(ctx, os.Stdin, stdout)
 }
 
 func main() {
@@ -219,44 +219,44 @@
 
 // run carries a command out and returns the exit code.
 func run(arguments []string, stdout, stderr io.Writer) (code int) {
-	var all commands
-	parser, err := kong.New(&all, kong.Name("scale"), kong.Writers(stdout, stderr),
+	var flags commands
+	parser, err := kong.New(&flags, kong.Name("scale"), kong.Writers(stdout, stderr),
 		kong.Description("Measures what an ingress costs at sizes beyond today's fleets."),
 		kong.Vars{"ingresses": strconv.Itoa(scale.TargetIngresses), "backends": strconv.Itoa(scale.TargetBackends)},
-		kong.Exit(func(status int) { panic(exited(status)) }))
+		kong.Exit(func(status int) { panic(exitStatus(status)) }))
 	if err != nil {
 		fmt.Fprintln(stderr, "scale:", err)
-		return exitUnusable
+		return exitError
 	}
 	// The help ends the program inside of the parser.
 	defer func() {
-		if status, ok := recover().(exited); ok {
+		if status, ok := recover().(exitStatus); ok {
 			code = int(status)
 		}
 	}()
-	parsed, err := parser.Parse(arguments)
+	selected, err := parser.Parse(arguments)
 	if err != nil {
 		fmt.Fprintln(stderr, "scale:", err)
-		return exitUnusable
+		return exitError
 	}
-	if err := all.log(stderr); err != nil {
+	if err := flags.configureLogging(stderr); err != nil {
 		fmt.Fprintln(stderr, "scale:", err)
-		return exitUnusable
+		return exitError
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
-	parsed.BindTo(ctx, (*context.Context)(nil))
-	parsed.BindTo(stdout, (*io.Writer)(nil))
-	switch err := parsed.Run(); {
+	selected.BindTo(ctx, (*context.Context)(nil))
+	selected.BindTo(stdout, (*io.Writer)(nil))
+	switch err := selected.Run(); {
 	case errors.Is(err, errOverBudget):
 		fmt.Fprintln(stderr, "scale:", err)
 		return exitOverBudget
 	case err != nil:
 		fmt.Fprintln(stderr, "scale:", err)
-		return exitUnusable
+		return exitError
 	}
-	return exitDone
+	return exitOK
 }
 
-// exited is the status with which the parser ends the program.
-type exited int
+// exitStatus is the status with which the parser ends the program.
+type exitStatus int
--- a/cmd/scale/main_test.go
+++ b/cmd/scale/main_test.go
@@ -8,14 +8,14 @@
 	"testing"
 )
 
-// call runs a command and returns its exit code and what it printed.
-func call(arguments ...string) (code int, stdout, stderr string) {
+// execute runs a command and returns its exit code and what it printed.
+func execute(arguments ...string) (code int, stdout, stderr string) {
 	var out, err strings.Builder
 	code = run(arguments, &out, &err)
 	return code, out.String(), err.String()
 }
 
-func TestWhatCantBeUsedIsOneLineAndCodeTwo(t *testing.T) {
+func TestInvalidArgumentsReportOneLineAndExitError(t *testing.T) {
 	for _, arguments := range [][]string{
 		{},
 		{"nothing"},
@@ -39,29 +39,29 @@
 		{"run", "--ingress", "main.go", "--budgets", "ignore"},
 		{"run", "--ingress", "main.go", "--ingresses", "5000", "--backends", "100000"},
 	} {
-		code, stdout, stderr := call(arguments...)
-		if code != exitUnusable || stdout != "" || !strings.HasPrefix(stderr, "scale: ") || strings.Count(stderr, "\n") != 1 {
-			t.Errorf("%q gives code %d, output %q, errors %q; want one line and code %d", arguments, code, stdout, stderr, exitUnusable)
+		code, stdout, stderr := execute(arguments...)
+		if code != exitError || stdout != "" || !strings.HasPrefix(stderr, "scale: ") || strings.Count(stderr, "\n") != 1 {
+			t.Errorf("%q gives code %d, output %q, errors %q; want one line and code %d", arguments, code, stdout, stderr, exitError)
 		}
 	}
 }
 
-func TestHelpNamesTheFlags(t *testing.T) {
-	code, stdout, stderr := call("slopes", "--help")
-	if code != exitDone || stderr != "" || !strings.Contains(stdout, "--repeats") {
+func TestHelpListsFlags(t *testing.T) {
+	code, stdout, stderr := execute("slopes", "--help")
+	if code != exitOK || stderr != "" || !strings.Contains(stdout, "--repeats") {
 		t.Errorf("code %d, output %q, errors %q", code, stdout, stderr)
 	}
 }
 
-func TestListIsMeasured(t *testing.T) {
+func TestListReportsFigures(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "list.json")
 	list := `{"revision":1,"complete":true,"members":[{"id":"a","host_port":"127.0.0.1:1","phase":"SERVING","size":1}]}`
 	if err := os.WriteFile(path, []byte(list), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	results := filepath.Join(t.TempDir(), "results.json")
-	code, stdout, stderr := call("list", "--repeats", "2", "--json", results, path)
-	if code != exitDone || stderr != "" || !strings.Contains(stdout, fmt.Sprintf("| text | %.3g | KB |", float64(len(list))/1e3)) {
+	code, stdout, stderr := execute("list", "--repeats", "2", "--json", results, path)
+	if code != exitOK || stderr != "" || !strings.Contains(stdout, fmt.Sprintf("| text | %.3g | KB |", float64(len(list))/1e3)) {
 		t.Errorf("code %d, output %q, errors %q", code, stdout, stderr)
 	}
 	if text, err := os.ReadFile(results); err != nil || !strings.Contains(string(text), `"figures"`) {
--- a/internal/scale/backends.go
+++ b/internal/scale/backends.go
@@ -8,9 +8,9 @@
 	"github.com/tidwall/redcon"
 )
 
-// backends is a stand-in for all backends: one listener serves the address of
+// backendStub is a stand-in for all backendStub: one listener serves the address of
 // each. A request is answered at once, so that its time is what the ingress adds.
-type backends struct {
+type backendStub struct {
 	listener net.Listener
 	port     int
 
@@ -19,21 +19,21 @@
 	conns map[net.Conn]struct{}
 }
 
-// usedOfQuota is what every answer tells of its customer's use, in percent and 1 more.
-const usedOfQuota = "used=31"
+// quotaUseReport is what every answer tells of its customer's use, in percent and 1 more.
+const quotaUseReport = "used=31"
 
-// startBackends serves all addresses of backends at one port.
-func startBackends() (*backends, error) {
+// startBackendStub serves all addresses of backends at one port.
+func startBackendStub() (*backendStub, error) {
 	listener, port, err := listenOnLoopback(0)
 	if err != nil {
 		return nil, err
 	}
-	b := &backends{listener: listener, port: port, down: map[string]bool{}, conns: map[net.Conn]struct{}{}}
+	b := &backendStub{listener: listener, port: port, down: map[string]bool{}, conns: map[net.Conn]struct{}{}}
 	go b.accept()
 	return b, nil
 }
 
-func (b *backends) accept() {
+func (b *backendStub) accept() {
 	for {
 		connection, err := b.listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
@@ -46,7 +46,7 @@
 }
 
 // add takes a connection in, or resets it if its backend is gone.
-func (b *backends) add(connection net.Conn) bool {
+func (b *backendStub) add(connection net.Conn) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.down[connection.LocalAddr().String()] {
@@ -58,7 +58,7 @@
 }
 
 // serve answers each command until the connection ends.
-func (b *backends) serve(connection net.Conn) {
+func (b *backendStub) serve(connection net.Conn) {
 	defer func() {
 		connection.Close()
 		b.mu.Lock()
@@ -70,11 +70,11 @@
 		if _, err := commands.ReadCommand(); err != nil {
 			return
 		}
-		answer := redcon.AppendArray(nil, 3)
-		answer = redcon.AppendBulkString(answer, "value")
-		answer = redcon.AppendBulkString(answer, usedOfQuota)
-		answer = redcon.AppendNull(answer)
-		if _, err := connection.Write(answer); err != nil {
+		reply := redcon.AppendArray(nil, 3)
+		reply = redcon.AppendBulkString(reply, "value")
+		reply = redcon.AppendBulkString(reply, quotaUseReport)
+		reply = redcon.AppendNull(reply)
+		if _, err := connection.Write(reply); err != nil {
 			return
 		}
 	}
@@ -82,7 +82,7 @@
 
 // setDown ends the processes at addresses, or starts them again. The end of a
 // process resets its connections.
-func (b *backends) setDown(down bool, addresses ...string) {
+func (b *backendStub) setDown(down bool, addresses ...string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, address := range addresses {
@@ -99,7 +99,7 @@
 	}
 }
 
-func (b *backends) close() {
+func (b *backendStub) close() {
 	b.listener.Close()
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/scale/discovery.go
+++ b/internal/scale/discovery.go
@@ -13,51 +13,51 @@
 )
 
 const (
-	keepAlive    = 2 * time.Second // between the empty lines of a watch that has nothing to tell
-	historyKept  = 1024            // changes that a watch can be resumed from
-	agentsInAll  = 250 * 250       // addresses set aside for agents
-	discoveryEnd = 2 * time.Second // that open watches get to end
+	keepAliveInterval = 2 * time.Second // between the empty lines of a watch that has nothing to tell
+	maxHistory        = 1024            // changes that a watch can be resumed from
+	maxAgents         = 250 * 250       // addresses set aside for agents
+	shutdownTimeout   = 2 * time.Second // that open watches get to end
 )
 
-// discovery is a stand-in for the service that knows the backends, and for its
+// discoveryStub is a stand-in for the service that knows the backends, and for its
 // agents, one beside each ingress. All agents share a listener; the address that
 // an ingress calls tells whose agent it is.
-type discovery struct {
+type discoveryStub struct {
 	port   int
 	server *http.Server
 
-	mu      sync.Mutex
-	list    membership.List
-	place   map[string]int    // of a member in the list, by id
-	history []membership.List // the last changes, oldest first
-	whole   []byte            // the list as text; nil if it must be made anew
-	wake    chan struct{}     // closed when there is something new to tell
-	silent  map[int]bool      // agents that are cut off
-	wholly  bool              // each change is told as a whole list
-	traffic traffic
+	mu            sync.Mutex
+	list          membership.List
+	indexByID     map[string]int    // of a member in the list, by id
+	history       []membership.List // the last changes, oldest first
+	snapshot      []byte            // the list as text; nil if it must be made anew
+	wake          chan struct{}     // closed when there is something new to tell
+	partitioned   map[int]bool      // agents that are cut off
+	snapshotsOnly bool              // each change is told as a whole list
+	traffic       traffic
 }
 
 // traffic counts what agents have sent.
 type traffic struct {
-	begun    time.Time
+	started  time.Time
 	byAgent  map[int]int64
 	bySecond map[int]int64
 }
 
-// startDiscovery serves a list. The port 0 takes a free one.
-func startDiscovery(list membership.List, port int) (*discovery, error) {
+// startDiscoveryStub serves a list. The port 0 takes a free one.
+func startDiscoveryStub(list membership.List, port int) (*discoveryStub, error) {
 	listener, port, err := listenOnLoopback(port)
 	if err != nil {
 		return nil, err
 	}
-	d := &discovery{port: port, list: list, place: map[string]int{}, wake: make(chan struct{}), silent: map[int]bool{},
-		traffic: traffic{begun: time.Now(), byAgent: map[int]int64{}, bySecond: map[int]int64{}}}
+	d := &discoveryStub{port: port, list: list, indexByID: map[string]int{}, wake: make(chan struct{}), partitioned: map[int]bool{},
+		traffic: traffic{started: time.Now(), byAgent: map[int]int64{}, bySecond: map[int]int64{}}}
 	d.list.Members = append([]*membership.Member(nil), list.Members...)
-	for i, m := range d.list.Members {
-		d.place[m.ID] = i
+	for i, member := range d.list.Members {
+		d.indexByID[member.ID] = i
 	}
 	routes := http.NewServeMux()
-	routes.HandleFunc("GET /api/targets", d.targets)
+	routes.HandleFunc("GET /api/targets", d.serveTargets)
 	d.server = &http.Server{Handler: routes, ConnContext: func(ctx context.Context, connection net.Conn) context.Context {
 		return context.WithValue(ctx, agentKey{}, agentNumber(connection.LocalAddr()))
 	}}
@@ -69,7 +69,7 @@
 type agentKey struct{}
 
 // agentAddress is the address of the agent of an ingress.
-func (d *discovery) agentAddress(ingress int) string {
+func (d *discoveryStub) agentAddress(ingress int) string {
 	return fmt.Sprintf("127.32.%d.%d:%d", ingress/250+1, ingress%250+1, d.port)
 }
 
@@ -83,8 +83,8 @@
 	return (int(ip[2])-1)*250 + int(ip[3]) - 1
 }
 
-func (d *discovery) close() {
-	ctx, cancel := context.WithTimeout(context.Background(), discoveryEnd)
+func (d *discoveryStub) close() {
+	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
 	d.server.Close()
 	d.server.Shutdown(ctx)
@@ -92,81 +92,81 @@
 
 // publish takes a change into the list and tells it to all agents that are not
 // cut off. It returns the change's revision.
-func (d *discovery) publish(members ...*membership.Member) int64 {
+func (d *discoveryStub) publish(members ...*membership.Member) int64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.list.Revision++
-	for _, m := range members {
-		d.put(m)
+	for _, member := range members {
+		d.applyUpdate(member)
 	}
 	d.history = append(d.history, membership.List{Revision: d.list.Revision, Members: members})
-	if len(d.history) > historyKept {
+	if len(d.history) > maxHistory {
 		d.history = d.history[1:]
 	}
-	d.whole = nil
-	d.wakeAll()
+	d.snapshot = nil
+	d.wakeWaiters()
 	return d.list.Revision
 }
 
-// tellWhole makes every watch tell whole lists from now on.
-func (d *discovery) tellWhole() {
+// sendSnapshotsOnly makes every watch tell whole lists from now on.
+func (d *discoveryStub) sendSnapshotsOnly() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.wholly = true
+	d.snapshotsOnly = true
 }
 
-// put sets the line of one member.
-func (d *discovery) put(m *membership.Member) {
-	place, known := d.place[m.ID]
+// applyUpdate sets the line of one member.
+func (d *discoveryStub) applyUpdate(member *membership.Member) {
+	index, known := d.indexByID[member.ID]
 	switch {
-	case m.Phase == membership.PhaseDeleted && known:
+	case member.Phase == membership.PhaseDeleted && known:
 		last := len(d.list.Members) - 1
-		d.list.Members[place] = d.list.Members[last]
-		d.place[d.list.Members[place].ID] = place
+		d.list.Members[index] = d.list.Members[last]
+		d.indexByID[d.list.Members[index].ID] = index
 		d.list.Members = d.list.Members[:last]
-		delete(d.place, m.ID)
-	case m.Phase == membership.PhaseDeleted:
+		delete(d.indexByID, member.ID)
+	case member.Phase == membership.PhaseDeleted:
 	case known:
-		d.list.Members[place] = m
+		d.list.Members[index] = member
 	default:
-		d.place[m.ID] = len(d.list.Members)
-		d.list.Members = append(d.list.Members, m)
+		d.indexByID[member.ID] = len(d.list.Members)
+		d.list.Members = append(d.list.Members, member)
 	}
 }
 
-// revision is that of the last change.
-func (d *discovery) revision() int64 {
+// currentRevision is that of the last change.
+func (d *discoveryStub) currentRevision() int64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.list.Revision
 }
 
-// silence cuts agents off, or brings them back: what was changed in between is
+// setPartitioned cuts agents off, or brings them back: what was changed in between is
 // then told at once.
-func (d *discovery) silence(silent bool, agents ...int) {
+func (d *discoveryStub) setPartitioned(partitioned bool, agents ...int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, agent := range agents {
-		if silent {
-			d.silent[agent] = true
+		if partitioned {
+			d.partitioned[agent] = true
 		} else {
-			delete(d.silent, agent)
+			delete(d.partitioned, agent)
 		}
 	}
-	d.wakeAll()
+	d.wakeWaiters()
 }
 
-// wakeAll lets every call look again. The caller holds the lock.
-func (d *discovery) wakeAll() {
+// wakeWaiters lets every call look again. The caller holds the lock.
+func (d *discoveryStub) wakeWaiters() {
 	close(d.wake)
 	d.wake = make(chan struct{})
 }
 
-// targets serves the whole list, or a watch.
-func (d *discovery) targets(w http.ResponseWriter, r *http.Request) {
+// serveTargets serves the whole list, or a watch.
+func (d *discoveryStub) serveTargets(w http.ResponseWriter, r *http.Request) {
 	agent, _ := r.Context().Value(agentKey{}).(int)
 	if r.URL.Query().Get("stream") == "" {
-		if text := d.await(r.Context(), agent); text != nil {
+		if text := d.awaitSnapshot(r.Context(), agent); text != nil {
 			w.Write(text)
 		}
 		return
@@ -176,17 +176,17 @@
 		http.Error(w, "index must be a revision", http.StatusBadRequest)
 		return
 	}
-	d.watch(w, r.Context(), agent, revision)
+	d.serveWatch(w, r.Context(), agent, revision)
 }
 
-// await returns the whole list as soon as the agent is not cut off, or nil if the call ends before.
-func (d *discovery) await(ctx context.Context, agent int) []byte {
+// awaitSnapshot returns the whole list as soon as the agent is not cut off, or nil if the call ends before.
+func (d *discoveryStub) awaitSnapshot(ctx context.Context, agent int) []byte {
 	for {
 		d.mu.Lock()
-		silent, wake := d.silent[agent], d.wake
-		text := d.wholeText()
+		partitioned, wake := d.partitioned[agent], d.wake
+		text := d.encodedSnapshot()
 		d.mu.Unlock()
-		if !silent {
+		if !partitioned {
 			return text
 		}
 		select {
@@ -197,67 +197,67 @@
 	}
 }
 
-// wholeText is the list as text. The caller holds the lock.
-func (d *discovery) wholeText() []byte {
-	if d.whole == nil {
-		d.whole = lineOf(d.list)
+// encodedSnapshot is the list as text. The caller holds the lock.
+func (d *discoveryStub) encodedSnapshot() []byte {
+	if d.snapshot == nil {
+		d.snapshot = encodeList(d.list)
 	}
-	return d.whole
+	return d.snapshot
 }
 
-// watch tells what changes after a revision until the connection ends.
-func (d *discovery) watch(w http.ResponseWriter, ctx context.Context, agent int, revision int64) {
+// serveWatch tells what changes after a revision until the connection ends.
+func (d *discoveryStub) serveWatch(w http.ResponseWriter, ctx context.Context, agent int, revision int64) {
 	control := http.NewResponseController(w)
-	say := func(text []byte) bool {
+	writeLine := func(text []byte) bool {
 		if _, err := w.Write(append(text, '\n')); err != nil {
 			return false
 		}
 		return control.Flush() == nil
 	}
-	alive := time.NewTimer(0) // the first empty line comes at once
-	defer alive.Stop()
+	keepAliveTimer := time.NewTimer(0) // the first empty line comes at once
+	defer keepAliveTimer.Stop()
 	for {
-		text, next, silent, wake := d.news(agent, revision)
+		text, next, partitioned, wake := d.nextUpdate(agent, revision)
 		if text != nil {
-			if !say(text) {
+			if !writeLine(text) {
 				return
 			}
 			revision = next
-			alive.Reset(keepAlive)
+			keepAliveTimer.Reset(keepAliveInterval)
 			continue
 		}
 		select {
 		case <-wake:
-		case <-alive.C:
-			if !silent && !say(nil) {
+		case <-keepAliveTimer.C:
+			if !partitioned && !writeLine(nil) {
 				return
 			}
-			alive.Reset(keepAlive)
+			keepAliveTimer.Reset(keepAliveInterval)
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// news is what an agent has to tell after a revision, if anything, and what to wait for otherwise.
-func (d *discovery) news(agent int, revision int64) (text []byte, next int64, silent bool, wake <-chan struct{}) {
+// nextUpdate is what an agent has to tell after a revision, if anything, and what to wait for otherwise.
+func (d *discoveryStub) nextUpdate(agent int, revision int64) (text []byte, next int64, partitioned bool, wake <-chan struct{}) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if silent = d.silent[agent]; silent || revision == d.list.Revision {
-		return nil, revision, silent, d.wake
+	if partitioned = d.partitioned[agent]; partitioned || revision == d.list.Revision {
+		return nil, revision, partitioned, d.wake
 	}
 	missed := d.list.Revision - revision
 	switch {
-	case d.wholly || missed < 0 || missed > int64(len(d.history)):
-		text = append([]byte(nil), d.wholeText()...)
+	case d.snapshotsOnly || missed < 0 || missed > int64(len(d.history)):
+		text = append([]byte(nil), d.encodedSnapshot()...)
 	default:
-		text = lineOf(merge(d.history[int64(len(d.history))-missed:]))
+		text = encodeList(mergeChanges(d.history[int64(len(d.history))-missed:]))
 	}
 	return text, d.list.Revision, false, d.wake
 }
 
-// merge makes one change of several: the last line of each member, in the order of these lines.
-func merge(changes []membership.List) membership.List {
+// mergeChanges makes one change of several: the last line of each member, in the order of these lines.
+func mergeChanges(changes []membership.List) membership.List {
 	merged := membership.List{Revision: changes[len(changes)-1].Revision}
 	if len(changes) == 1 {
 		merged.Members = changes[0].Members
@@ -265,54 +265,54 @@
 	}
 	last := map[string]int{}
 	for i, change := range changes {
-		for _, m := range change.Members {
-			last[m.ID] = i
+		for _, member := range change.Members {
+			last[member.ID] = i
 		}
 	}
 	for i, change := range changes {
-		for _, m := range change.Members {
-			if last[m.ID] == i {
-				merged.Members = append(merged.Members, m)
+		for _, member := range change.Members {
+			if last[member.ID] == i {
+				merged.Members = append(merged.Members, member)
 			}
 		}
 	}
 	return merged
 }
 
-// sent counts bytes that an agent has written.
-func (d *discovery) sent(agent, bytes int) {
+// recordSent counts bytes that an agent has written.
+func (d *discoveryStub) recordSent(agent, bytes int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.traffic.byAgent[agent] += int64(bytes)
-	d.traffic.bySecond[int(time.Since(d.traffic.begun)/time.Second)] += int64(bytes)
+	d.traffic.bySecond[int(time.Since(d.traffic.started)/time.Second)] += int64(bytes)
 }
 
 // resetTraffic forgets what was sent so far.
-func (d *discovery) resetTraffic() {
+func (d *discoveryStub) resetTraffic() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.traffic = traffic{begun: time.Now(), byAgent: map[int]int64{}, bySecond: map[int]int64{}}
+	d.traffic = traffic{started: time.Now(), byAgent: map[int]int64{}, bySecond: map[int]int64{}}
 }
 
-// sentSoFar tells how many bytes the agents have sent in all, how many the one
+// trafficTotals tells how many bytes the agents have sent in all, how many the one
 // that sent most has, and how many all have in the worst second.
-func (d *discovery) sentSoFar() (total, mostOfOne, worstSecond int64) {
+func (d *discoveryStub) trafficTotals() (total, maxPerAgent, maxPerSecond int64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, bytes := range d.traffic.byAgent {
 		total += bytes
-		mostOfOne = max(mostOfOne, bytes)
+		maxPerAgent = max(maxPerAgent, bytes)
 	}
 	for _, bytes := range d.traffic.bySecond {
-		worstSecond = max(worstSecond, bytes)
+		maxPerSecond = max(maxPerSecond, bytes)
 	}
-	return total, mostOfOne, worstSecond
+	return total, maxPerAgent, maxPerSecond
 }
 
 // countingListener counts what is written to its connections.
 type countingListener struct {
 	net.Listener
-	discovery *discovery
+	discovery *discoveryStub
 }
 
 // Accept implements net.Listener.
@@ -326,13 +326,13 @@
 
 type countingConn struct {
 	net.Conn
-	discovery *discovery
+	discovery *discoveryStub
 	agent     int
 }
 
 // Write implements net.Conn.
 func (c *countingConn) Write(text []byte) (int, error) {
 	n, err := c.Conn.Write(text)
-	c.discovery.sent(c.agent, n)
+	c.discovery.recordSent(c.agent, n)
 	return n, err
 }
--- a/internal/scale/discovery_test.go
+++ b/internal/scale/discovery_test.go
@@ -11,25 +11,25 @@
 	"cedarseam/internal/membership"
 )
 
-// patience bounds every wait; no test passes by waiting.
-const patience = 30 * time.Second
+// testTimeout bounds every wait; no test passes by waiting.
+const testTimeout = 30 * time.Second
 
-// watcher reads the lines of one watch.
-type watcher struct {
+// watchReader reads the lines of one watch.
+type watchReader struct {
 	t     *testing.T
 	lines chan string
 }
 
-func (d *discovery) watcher(t *testing.T, agent int, revision int64) *watcher {
+func (d *discoveryStub) openWatch(t *testing.T, agent int, revision int64) *watchReader {
 	t.Helper()
-	answer, err := http.Get(fmt.Sprintf("http://%s/api/targets?stream=1&index=%d", d.agentAddress(agent), revision))
+	response, err := http.Get(fmt.Sprintf("http://%s/api/targets?stream=1&index=%d", d.agentAddress(agent), revision))
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { answer.Body.Close() })
-	w := &watcher{t, make(chan string, 100)}
+	t.Cleanup(func() { response.Body.Close() })
+	w := &watchReader{t, make(chan string, 100)}
 	go func() {
-		lines := bufio.NewScanner(answer.Body)
+		lines := bufio.NewScanner(response.Body)
 		lines.Buffer(nil, 1<<20)
 		for lines.Scan() {
 			w.lines <- lines.Text()
@@ -40,12 +40,12 @@
 }
 
 // next returns the next line that is not empty.
-func (w *watcher) next() (list membership.List) {
+func (w *watchReader) next() (list membership.List) {
 	w.t.Helper()
 	for {
 		select {
-		case line, more := <-w.lines:
-			if !more {
+		case line, open := <-w.lines:
+			if !open {
 				w.t.Fatal("the watch has ended")
 			}
 			if line == "" {
@@ -55,16 +55,16 @@
 				w.t.Fatalf("%q: %v", line, err)
 			}
 			return list
-		case <-time.After(patience):
+		case <-time.After(testTimeout):
 			w.t.Fatal("no line comes")
 		}
 	}
 }
 
-func newTestDiscovery(t *testing.T, size int) (*discovery, membership.List) {
+func newTestDiscovery(t *testing.T, size int) (*discoveryStub, membership.List) {
 	t.Helper()
 	fleet := newFleet(size, 1)
-	d, err := startDiscovery(fleet, 0)
+	d, err := startDiscoveryStub(fleet, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -72,9 +72,9 @@
 	return d, fleet
 }
 
-func TestWatchTellsWhatChangedSinceItsRevision(t *testing.T) {
+func TestWatchSendsChangesSinceRevision(t *testing.T) {
 	d, fleet := newTestDiscovery(t, 10)
-	w := d.watcher(t, 3, 1)
+	w := d.openWatch(t, 3, 1)
 	one := withPhase(fleet.Members[1], membership.PhaseDraining, 0)
 	two := withPhase(fleet.Members[2], membership.PhaseDeleted, 0)
 	d.publish(one)
@@ -83,56 +83,56 @@
 	}
 	d.publish(two)
 	d.publish(two)
-	late := d.watcher(t, 4, 1).next()
+	late := d.openWatch(t, 4, 1).next()
 	if late.Revision != 4 || late.Complete || len(late.Members) != 2 || *late.Members[0] != *one || *late.Members[1] != *two {
 		t.Errorf("a watch from before all of it is told %+v, want each change once", late)
 	}
-	if future := d.watcher(t, 5, 99).next(); !future.Complete || len(future.Members) != 9 {
+	if future := d.openWatch(t, 5, 99).next(); !future.Complete || len(future.Members) != 9 {
 		t.Errorf("a watch from a revision that never was is told %d members, whole %t; want the whole list", len(future.Members), future.Complete)
 	}
 }
 
-func TestRevisionTooOldIsToldTheWholeList(t *testing.T) {
+func TestWatchFromExpiredRevisionGetsFullList(t *testing.T) {
 	d, fleet := newTestDiscovery(t, 10)
 	changed := fleet.Members[0]
-	for range historyKept + 1 {
+	for range maxHistory + 1 {
 		d.publish(changed)
 	}
-	if l := d.watcher(t, 0, 1).next(); !l.Complete || l.Revision != historyKept+2 || len(l.Members) != 10 {
+	if l := d.openWatch(t, 0, 1).next(); !l.Complete || l.Revision != maxHistory+2 || len(l.Members) != 10 {
 		t.Errorf("told revision %d with %d members, whole %t", l.Revision, len(l.Members), l.Complete)
 	}
 }
 
-func TestAgentThatIsCutOffIsSilentAndTellsAllAtItsReturn(t *testing.T) {
+func TestPartitionedAgentSendsMissedChangesAfterReconnect(t *testing.T) {
 	d, fleet := newTestDiscovery(t, 10)
-	cut, other := d.watcher(t, 0, 1), d.watcher(t, 1, 1)
-	d.silence(true, 0)
+	partitioned, other := d.openWatch(t, 0, 1), d.openWatch(t, 1, 1)
+	d.setPartitioned(true, 0)
 	d.publish(fleet.Members[5])
 	if l := other.next(); l.Revision != 2 {
 		t.Errorf("another agent tells revision %d first", l.Revision)
 	}
 	d.publish(fleet.Members[6])
-	text, _, silent, _ := d.news(0, 1)
-	if !silent || text != nil {
+	text, _, isPartitioned, _ := d.nextUpdate(0, 1)
+	if !isPartitioned || text != nil {
 		t.Errorf("an agent that is cut off has %q to tell", text)
 	}
-	d.silence(false, 0)
-	if l := cut.next(); l.Revision != 3 || len(l.Members) != 2 {
+	d.setPartitioned(false, 0)
+	if l := partitioned.next(); l.Revision != 3 || len(l.Members) != 2 {
 		t.Errorf("at its return it tells revision %d with %d members", l.Revision, len(l.Members))
 	}
 }
 
 func TestTrafficIsCountedByAgent(t *testing.T) {
 	d, fleet := newTestDiscovery(t, 10)
-	w := d.watcher(t, 7, 1)
+	w := d.openWatch(t, 7, 1)
 	d.publish(fleet.Members[0])
 	w.next()
-	total, most, worst := d.sentSoFar()
-	if total < int64(len(lineOf(changeOf(fleet, 2, membership.PhaseServing, 0, 0)))) || most != total || worst <= 0 {
-		t.Errorf("%d bytes in all, %d of one agent, %d in a second", total, most, worst)
+	total, maxPerAgent, maxPerSecond := d.trafficTotals()
+	if total < int64(len(encodeList(newDelta(fleet, 2, membership.PhaseServing, 0, 0)))) || maxPerAgent != total || maxPerSecond <= 0 {
+		t.Errorf("%d bytes in all, %d of one agent, %d in a second", total, maxPerAgent, maxPerSecond)
 	}
 	d.resetTraffic()
-	if total, _, _ := d.sentSoFar(); total != 0 {
+	if total, _, _ := d.trafficTotals(); total != 0 {
 		t.Errorf("%d bytes after a reset", total)
 	}
 }
--- a/internal/scale/fit.go
+++ b/internal/scale/fit.go
@@ -14,10 +14,10 @@
 
 // Slope is one cost as a function of size.
 type Slope struct {
-	Name   string  `json:"name"`
-	Of     string  `json:"of"` // what the size counts
-	Unit   string  `json:"unit"`
-	Points []Point `json:"points"`
+	Name      string  `json:"name"`
+	Dimension string  `json:"of"` // what the size counts
+	Unit      string  `json:"unit"`
+	Points    []Point `json:"points"`
 	// PerThousand is the growth for each 1,000 of size: the slope of the line of
 	// least squares through the medians.
 	PerThousand float64 `json:"per_thousand"`
@@ -57,8 +57,8 @@
 	s.Exponent = exponent
 	sum := 0.0
 	for i, p := range s.Points {
-		rest := math.Exp(offset+exponent*logSizes[i])/p.Median - 1
-		sum += rest * rest
+		residual := math.Exp(offset+exponent*logSizes[i])/p.Median - 1
+		sum += residual * residual
 	}
 	s.Residual = math.Sqrt(sum / float64(len(s.Points)))
 }
--- a/internal/scale/fit_test.go
+++ b/internal/scale/fit_test.go
@@ -6,8 +6,10 @@
 	"testing"
 )
 
-// near tells that a value is within a thousandth of what is wanted.
-func near(got, want float64) bool { return math.Abs(got-want) <= 1e-3*math.Max(1, math.Abs(want)) }
+// almostEqual tells that a value is within a thousandth of what is wanted.
+func almostEqual(got, want float64) bool {
+	return math.Abs(got-want) <= 1e-3*math.Max(1, math.Abs(want))
+}
 
 func TestFitFindsSlopeAndExponent(t *testing.T) {
 	for name, test := range map[string]struct {
@@ -23,19 +25,19 @@
 			s.Points = append(s.Points, newPoint(size, []float64{test.cost(float64(size))}))
 		}
 		s.fit()
-		if !near(s.Exponent, test.exponent) || !near(s.Residual, 0) {
+		if !almostEqual(s.Exponent, test.exponent) || !almostEqual(s.Residual, 0) {
 			t.Errorf("%s: exponent %v, residual %v; want %v and 0", name, s.Exponent, s.Residual, test.exponent)
 		}
-		if name == "even growth" && !near(s.PerThousand, 3000) {
+		if name == "even growth" && !almostEqual(s.PerThousand, 3000) {
 			t.Errorf("%s: %v for each 1,000, want 3000", name, s.PerThousand)
 		}
 	}
 }
 
-func TestCostOfNothingHasNoExponent(t *testing.T) {
+func TestFitOmitsExponentForZeroCost(t *testing.T) {
 	s := Slope{Points: []Point{newPoint(10, []float64{0}), newPoint(20, []float64{1})}}
 	s.fit()
-	if s.Exponent != 0 || s.Residual != 0 || !near(s.PerThousand, 100) {
+	if s.Exponent != 0 || s.Residual != 0 || !almostEqual(s.PerThousand, 100) {
 		t.Errorf("exponent %v, residual %v, %v for each 1,000; want 0, 0 and 100", s.Exponent, s.Residual, s.PerThousand)
 	}
 }
@@ -49,10 +51,10 @@
 	}
 }
 
-func TestSlopesAreATable(t *testing.T) {
+func TestSlopesMarkdown(t *testing.T) {
 	slopes := Slopes{Repeats: 2, Slopes: []Slope{
-		{Name: "one", Of: "backends", Unit: "ms", Points: []Point{{10, 1, 2}, {20, 2, 4}}},
-		{Name: "two", Of: "tenants", Unit: "MB", Points: []Point{{30, 1, 2}}}}}
+		{Name: "one", Dimension: "backends", Unit: "ms", Points: []Point{{10, 1, 2}, {20, 2, 4}}},
+		{Name: "two", Dimension: "tenants", Unit: "MB", Points: []Point{{30, 1, 2}}}}}
 	text := slopes.Markdown()
 	for _, row := range []string{"| cost by backends | unit | 10 | 20 |", "| one | ms | 1 / 2 | 2 / 4 |",
 		"| cost by tenants | unit | 30 |", "| two | MB | 1 / 2 |"} {
--- a/internal/scale/fleet.go
+++ b/internal/scale/fleet.go
@@ -10,11 +10,11 @@
 )
 
 const (
-	flavor     = "std-2core"
-	cellsInAll = 16
-	rackSize   = 40 // backends that fail with one switch
-	// idNumberEnd is where the number of a backend ends in its id; its generation follows.
-	idNumberEnd = len("s-000000")
+	flavor    = "std-2core"
+	cellCount = 16
+	rackSize  = 40 // backends that fail with one switch
+	// generationOffset is where the number of a backend ends in its id; its generation follows.
+	generationOffset = len("s-000000")
 )
 
 // zones are the names of all zones of the target.
@@ -37,7 +37,7 @@
 func newMember(number, generation, port int, upSince int64) *membership.Member {
 	return &membership.Member{
 		ID: fmt.Sprintf("s-%06x%02x", number, generation&0xff), HostPort: backendAddress(number, port),
-		Locality: zones[number%len(zones)], Flavor: flavor, Cell: number % cellsInAll,
+		Locality: zones[number%len(zones)], Flavor: flavor, Cell: number % cellCount,
 		Phase: membership.PhaseServing, Size: 1, UpSince: upSince,
 	}
 }
@@ -58,27 +58,27 @@
 	return &changed
 }
 
-// changeOf is what some members of a list become, by their numbers.
-func changeOf(l membership.List, revision int64, phase string, upSince int64, numbers ...int) membership.List {
-	changed := membership.List{Revision: revision}
+// newDelta is what some members of a list become, by their numbers.
+func newDelta(l membership.List, revision int64, phase string, upSince int64, numbers ...int) membership.List {
+	delta := membership.List{Revision: revision}
 	for _, number := range numbers {
-		changed.Members = append(changed.Members, withPhase(l.Members[number], phase, upSince))
+		delta.Members = append(delta.Members, withPhase(l.Members[number], phase, upSince))
 	}
-	return changed
+	return delta
 }
 
-// inZone are the numbers of the backends of a zone.
-func inZone(l membership.List, zone string) (numbers []int) {
-	for i, m := range l.Members {
-		if m.Locality == zone {
+// numbersInZone are the numbers of the backends of a zone.
+func numbersInZone(l membership.List, zone string) (numbers []int) {
+	for i, member := range l.Members {
+		if member.Locality == zone {
 			numbers = append(numbers, i)
 		}
 	}
 	return numbers
 }
 
-// lineOf is a list on one line, as discovery writes it.
-func lineOf(l membership.List) []byte {
+// encodeList is a list on one line, as discovery writes it.
+func encodeList(l membership.List) []byte {
 	line, err := json.Marshal(l)
 	if err != nil {
 		panic(err) // strings and finite numbers always have a form
@@ -86,12 +86,12 @@
 	return line
 }
 
-// settings are the deployment's, in the form in which an ingress is told them.
-func settings(ingresses, self int) string {
-	return fmt.Sprintf(strings.Join(strings.Fields(settingsForm), ""), ingresses, self, quoted(zones), flavor)
+// settingsJSON are the deployment's, in the form in which an ingress is told them.
+func settingsJSON(ingresses, self int) string {
+	return fmt.Sprintf(strings.Join(strings.Fields(settingsTemplate), ""), ingresses, self, quotedList(zones), flavor)
 }
 
-func quoted(names []string) string {
+func quotedList(names []string) string {
 	names = slices.Clone(names)
 	for i, name := range names {
 		names[i] = fmt.Sprintf("%q", name)
@@ -99,8 +99,8 @@
 	return strings.Join(names, ",")
 }
 
-// settingsForm has no blanks inside strings, so that its white space can go.
-const settingsForm = `{
+// settingsTemplate has no blanks inside strings, so that its white space can go.
+const settingsTemplate = `{
   "balancers":%d,"self_index":%d,"zone":0,"zones":[%s],"kinds":["%s"],"tick_ms":2,"discovery":"push",
   "bounds":{"cancelling":true,"conn_idle_ms":15000,"connect_timeout_ms":250,"max_retry_after_ms":2500,
     "probing":false,"retry_after":true,"second_copies":false,"try_limit":4},
--- a/internal/scale/hollow.go
+++ b/internal/scale/hollow.go
@@ -17,20 +17,20 @@
 	"cedarseam/internal/ingress"
 )
 
-// HollowSpec tells a process which ingresses it runs: each follows discovery and
+// ControlPlaneSpec tells a process which ingresses it runs: each follows discovery and
 // keeps the gateway's state, without clients.
-type HollowSpec struct {
+type ControlPlaneSpec struct {
 	Ingresses int      `json:"ingresses"` // of the whole tier
 	First     int      `json:"first"`     // number of the first one here
 	Agents    []string `json:"agents"`    // where each one's discovery is
 }
 
-// hollowSample is what such a process answers to each line that it reads.
-type hollowSample struct {
-	Processor time.Duration `json:"processor"` // used so far
-	Resident  int64         `json:"resident"`  // bytes in memory
-	Heap      int64         `json:"heap"`      // bytes of it in use, if that was asked for
-	Applied   []appliedList `json:"applied"`   // since the last sample
+// controlPlaneSample is what such a process answers to each line that it reads.
+type controlPlaneSample struct {
+	CPUTime  time.Duration `json:"processor"` // used so far
+	Resident int64         `json:"resident"`  // bytes in memory
+	Heap     int64         `json:"heap"`      // bytes of it in use, if that was asked for
+	Applied  []appliedList `json:"applied"`   // since the last sample
 }
 
 // appliedList tells when an ingress had a list in force.
@@ -40,79 +40,79 @@
 	At       int64 `json:"at"` // Unix time in microseconds
 }
 
-// hollowGarbage is the share of garbage, in percent of what is in use, that such
+// controlPlaneGCPercent is the share of garbage, in percent of what is in use, that such
 // a process may hold: many ingresses share the machine.
-const hollowGarbage = 30
+const controlPlaneGCPercent = 30
 
 // The questions that such a process answers with a sample, each on a line.
 const (
-	askSample = "sample\n"
-	askHeap   = "heap\n" // the same, after a collection
+	sampleRequest     = "sample\n"
+	heapSampleRequest = "heap\n" // the same, after a collection
 )
 
-// RunHollow runs the ingresses of the specification that stands on the first
+// RunControlPlanes runs the ingresses of the specification that stands on the first
 // line of the input. It answers every further line with a sample, and ends with
 // the input.
-func RunHollow(ctx context.Context, in io.Reader, out io.Writer) error {
-	debug.SetGCPercent(hollowGarbage)
+func RunControlPlanes(ctx context.Context, in io.Reader, out io.Writer) error {
+	debug.SetGCPercent(controlPlaneGCPercent)
 	lines := bufio.NewReader(in)
-	first, err := lines.ReadBytes('\n')
+	specLine, err := lines.ReadBytes('\n')
 	if err != nil {
 		return fmt.Errorf("hollow: specification: %w", err)
 	}
-	var spec HollowSpec
-	if err := json.Unmarshal(first, &spec); err != nil {
+	var spec ControlPlaneSpec
+	if err := json.Unmarshal(specLine, &spec); err != nil {
 		return fmt.Errorf("hollow: specification: %w", err)
 	}
 	ctx, stop := context.WithCancel(ctx)
-	var running sync.WaitGroup
-	defer running.Wait()
+	var workers sync.WaitGroup
+	defer workers.Wait()
 	defer stop()
 	log := &appliedLog{}
 	for i, agent := range spec.Agents {
 		number := spec.First + i
-		cfg, err := controlConfig(spec.Ingresses, number)
+		config, err := controlPlaneConfig(spec.Ingresses, number)
 		if err != nil {
 			return err
 		}
-		cfg.Discovery = agent
-		control, err := ingress.NewControl(cfg, func(revision int64) { log.add(number, revision) })
+		config.Discovery = agent
+		control, err := ingress.NewControl(config, func(revision int64) { log.add(number, revision) })
 		if err != nil {
 			return err
 		}
-		running.Go(func() { control.Run(ctx) })
+		workers.Go(func() { control.Run(ctx) })
 	}
-	samples := json.NewEncoder(out)
+	encoder := json.NewEncoder(out)
 	for {
-		question, err := lines.ReadString('\n')
+		request, err := lines.ReadString('\n')
 		if errors.Is(err, io.EOF) {
 			return nil
 		} else if err != nil {
 			return err
 		}
-		sample, err := takeSample(log, question == askHeap)
+		sample, err := takeSample(log, request == heapSampleRequest)
 		if err != nil {
 			return err
 		}
-		if err := samples.Encode(sample); err != nil {
+		if err := encoder.Encode(sample); err != nil {
 			return err
 		}
 	}
 }
 
-func takeSample(log *appliedLog, collect bool) (hollowSample, error) {
+func takeSample(log *appliedLog, collectGarbage bool) (controlPlaneSample, error) {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
-		return hollowSample{}, err
+		return controlPlaneSample{}, err
 	}
-	used := time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
+	cpuTime := time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 	resident, err := residentMemory(os.Getpid())
 	if err != nil {
-		return hollowSample{}, err
+		return controlPlaneSample{}, err
 	}
-	sample := hollowSample{Processor: used, Resident: resident, Applied: log.take()}
-	if collect {
-		sample.Heap = heap()
+	sample := controlPlaneSample{CPUTime: cpuTime, Resident: resident, Applied: log.take()}
+	if collectGarbage {
+		sample.Heap = heapInUse()
 	}
 	return sample, nil
 }
@@ -145,52 +145,52 @@
 	return lists
 }
 
-// hollow is such a process, seen from the one that started it.
-type hollow struct {
+// controlPlaneProcess is such a process, seen from the one that started it.
+type controlPlaneProcess struct {
 	command *exec.Cmd
 	in      io.WriteCloser
 	samples *json.Decoder
 }
 
-// startHollow starts a process of the program given, which is this one.
-func startHollow(ctx context.Context, program string, spec HollowSpec) (*hollow, error) {
-	h := &hollow{command: exec.CommandContext(ctx, program, "--logs", "error", "hollow")}
-	h.command.Stderr = os.Stderr
-	h.command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
+// startControlPlaneProcess starts a process of the program given, which is this one.
+func startControlPlaneProcess(ctx context.Context, program string, spec ControlPlaneSpec) (*controlPlaneProcess, error) {
+	process := &controlPlaneProcess{command: exec.CommandContext(ctx, program, "--logs", "error", "hollow")}
+	process.command.Stderr = os.Stderr
+	process.command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	var err error
-	if h.in, err = h.command.StdinPipe(); err != nil {
+	if process.in, err = process.command.StdinPipe(); err != nil {
 		return nil, err
 	}
-	out, err := h.command.StdoutPipe()
+	out, err := process.command.StdoutPipe()
 	if err != nil {
 		return nil, err
 	}
-	h.samples = json.NewDecoder(out)
-	if err := h.command.Start(); err != nil {
+	process.samples = json.NewDecoder(out)
+	if err := process.command.Start(); err != nil {
 		return nil, err
 	}
-	if err := json.NewEncoder(h.in).Encode(spec); err != nil {
-		h.stop()
+	if err := json.NewEncoder(process.in).Encode(spec); err != nil {
+		process.stop()
 		return nil, err
 	}
-	return h, nil
+	return process, nil
 }
 
-func (h *hollow) sample(question string) (hollowSample, error) {
-	var sample hollowSample
-	if _, err := io.WriteString(h.in, question); err != nil {
+func (p *controlPlaneProcess) sample(request string) (controlPlaneSample, error) {
+	var sample controlPlaneSample
+	if _, err := io.WriteString(p.in, request); err != nil {
 		return sample, fmt.Errorf("process of ingresses: %w", err)
 	}
-	if err := h.samples.Decode(&sample); err != nil {
+	if err := p.samples.Decode(&sample); err != nil {
 		return sample, fmt.Errorf("process of ingresses: %w", err)
 	}
 	return sample, nil
 }
 
 // stop ends the process, by force if it must.
-func (h *hollow) stop() {
-	h.in.Close()
-	forced := time.AfterFunc(endWithin, func() { h.command.Process.Kill() })
-	defer forced.Stop()
-	h.command.Wait()
+func (p *controlPlaneProcess) stop() {
+	p.in.Close()
+	killTimer := time.AfterFunc(stopTimeout, func() { p.command.Process.Kill() })
+	defer killTimer.Stop()
+	p.command.Wait()
 }
--- a/internal/scale/list.go
+++ b/internal/scale/list.go
@@ -22,43 +22,43 @@
 	if err != nil {
 		return nil, err
 	}
-	cfg, err := controlConfig(TargetIngresses, 0)
+	config, err := controlPlaneConfig(TargetIngresses, 0)
 	if err != nil {
 		return nil, err
 	}
-	result := &ListCost{Machine: thisMachine(), Repeats: repeats}
+	result := &ListCost{Machine: currentMachine(), Repeats: repeats}
 	values := map[string][]float64{}
 	for range repeats {
-		before := heap()
-		control, err := ingress.NewControl(cfg, nil)
+		before := heapInUse()
+		control, err := ingress.NewControl(config, nil)
 		if err != nil {
 			return nil, err
 		}
-		for _, turn := range []string{"first", "again"} {
+		for _, pass := range []string{"first", "again"} {
 			applied, err := control.Apply(text)
 			if err != nil {
 				return nil, fmt.Errorf("%s: %w", path, err)
 			}
-			values[turn+": decode and compare"] = append(values[turn+": decode and compare"], milliseconds(applied.Decode))
-			values[turn+": longest hold of the loop"] = append(values[turn+": longest hold of the loop"], milliseconds(applied.Longest))
+			values[pass+": decode and compare"] = append(values[pass+": decode and compare"], milliseconds(applied.Decode))
+			values[pass+": longest hold of the loop"] = append(values[pass+": longest hold of the loop"], milliseconds(applied.Longest))
 		}
-		values["memory"] = append(values["memory"], float64(heap()-before)/1e6)
+		values["memory"] = append(values["memory"], float64(heapInUse()-before)/1e6)
 	}
 	add := func(name, unit string, budget *Budget) {
 		point := newPoint(0, values[name])
 		result.Figures = append(result.Figures, Figure{name, point.Median, unit, budget})
 	}
 	result.Figures = append(result.Figures, Figure{"text", float64(len(text)) / 1e3, "KB", nil})
-	for _, turn := range []string{"first", "again"} {
-		add(turn+": decode and compare", "ms", nil)
-		add(turn+": longest hold of the loop", "ms", &Budget{"hold of the loop", milliseconds(longestHold), "ms"})
+	for _, pass := range []string{"first", "again"} {
+		add(pass+": decode and compare", "ms", nil)
+		add(pass+": longest hold of the loop", "ms", &Budget{"hold of the loop", milliseconds(maxLoopHold), "ms"})
 	}
 	add("memory", "MB", &BudgetMemory)
 	return result, nil
 }
 
-// longestHold is how long a list may keep a request waiting.
-const longestHold = 2 * time.Millisecond
+// maxLoopHold is how long a list may keep a request waiting.
+const maxLoopHold = 2 * time.Millisecond
 
-// Over tells whether a figure breaks its budget.
-func (c *ListCost) Over() bool { return anyOver(c.Figures) }
+// OverBudget tells whether a figure breaks its budget.
+func (c *ListCost) OverBudget() bool { return anyOverBudget(c.Figures) }
--- a/internal/scale/listen.go
+++ b/internal/scale/listen.go
@@ -11,16 +11,16 @@
 
 // listenOnLoopback listens at one port of all of 127.0.0.0/8, and nowhere else:
 // the socket is bound to the loopback device. A port of 0 takes a free one.
-func listenOnLoopback(port int) (listener net.Listener, chosen int, err error) {
+func listenOnLoopback(port int) (listener net.Listener, chosenPort int, err error) {
 	config := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error {
-		var bound error
+		var bindErr error
 		err := raw.Control(func(descriptor uintptr) {
-			bound = syscall.SetsockoptString(int(descriptor), syscall.SOL_SOCKET, syscall.SO_BINDTODEVICE, loopbackDevice)
+			bindErr = syscall.SetsockoptString(int(descriptor), syscall.SOL_SOCKET, syscall.SO_BINDTODEVICE, loopbackDevice)
 		})
 		if err != nil {
 			return err
 		}
-		return bound
+		return bindErr
 	}}
 	listener, err = config.Listen(context.Background(), "tcp4", fmt.Sprintf("0.0.0.0:%d", port))
 	if err != nil {
--- a/internal/scale/load.go
+++ b/internal/scale/load.go
@@ -15,18 +15,18 @@
 )
 
 const (
-	loadConnections = 200              // open at once towards one ingress
-	longestLatency  = 60 * time.Second // that is told apart from longer ones
-	latencyDigits   = 3                // significant digits kept
-	answerWithin    = 20 * time.Second // an answer that has not come by then never comes
+	maxLoadConnections       = 200              // open at once towards one ingress
+	maxRecordedLatency       = 60 * time.Second // that is told apart from longer ones
+	latencySignificantDigits = 3                // significant digits kept
+	replyTimeout             = 20 * time.Second // an answer that has not come by then never comes
 )
 
 // loadOptions bound the requests sent to one ingress.
 type loadOptions struct {
-	address string
-	rate    float64       // requests a second
-	length  time.Duration // how long new ones are sent
-	seed    uint64
+	address  string
+	rate     float64       // requests a second
+	duration time.Duration // how long new ones are sent
+	seed     uint64
 }
 
 // LoadResult tells what became of the requests.
@@ -41,39 +41,39 @@
 	Worst      float64 `json:"worst_ms"`
 }
 
-// load sends requests at an even rate, whether or not the ones before are
+// loadGenerator sends requests at an even rate, whether or not the ones before are
 // answered: a request's time counts from when it was due.
-type load struct {
+type loadGenerator struct {
 	options loadOptions
-	due     chan arrival
+	due     chan scheduledRequest
 
 	mu        sync.Mutex
 	result    LoadResult              // counts since the last take
 	latencies *hdrhistogram.Histogram // of all that were answered since, in microseconds
 }
 
-// arrival is one request to be sent.
-type arrival struct {
-	at   time.Time
-	text []byte
+// scheduledRequest is one request to be sent.
+type scheduledRequest struct {
+	dueAt   time.Time
+	command []byte
 }
 
-// newLoad makes a load that has sent nothing yet.
-func newLoad(options loadOptions) *load {
-	return &load{options: options, due: make(chan arrival, options.count()), latencies: newHistogram()}
+// newLoadGenerator makes a load that has sent nothing yet.
+func newLoadGenerator(options loadOptions) *loadGenerator {
+	return &loadGenerator{options: options, due: make(chan scheduledRequest, options.maxRequests()), latencies: newHistogram()}
 }
 
 func newHistogram() *hdrhistogram.Histogram {
-	return hdrhistogram.New(1, longestLatency.Microseconds(), latencyDigits)
+	return hdrhistogram.New(1, maxRecordedLatency.Microseconds(), latencySignificantDigits)
 }
 
-// count is how many requests are sent at most.
-func (o loadOptions) count() int { return int(o.rate * o.length.Seconds()) }
+// maxRequests is how many requests are sent at most.
+func (o loadOptions) maxRequests() int { return int(o.rate * o.duration.Seconds()) }
 
 // run sends requests until their time is over or ctx ends, and all are answered.
-func (l *load) run(ctx context.Context) {
+func (l *loadGenerator) run(ctx context.Context) {
 	var workers sync.WaitGroup
-	for range min(loadConnections, l.options.count()) {
+	for range min(maxLoadConnections, l.options.maxRequests()) {
 		workers.Go(l.work)
 	}
 	l.schedule(ctx)
@@ -81,17 +81,17 @@
 	workers.Wait()
 }
 
-// take returns what became of requests since it was last called.
-func (l *load) take() (LoadResult, *hdrhistogram.Histogram) {
+// takeResult returns what became of requests since it was last called.
+func (l *loadGenerator) takeResult() (LoadResult, *hdrhistogram.Histogram) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	result, latencies := l.result, l.latencies
 	l.result, l.latencies = LoadResult{}, newHistogram()
-	return result.withLatencies(latencies), latencies
+	return result.withQuantiles(latencies), latencies
 }
 
-// withLatencies fills the quantiles in.
-func (r LoadResult) withLatencies(latencies *hdrhistogram.Histogram) LoadResult {
+// withQuantiles fills the quantiles in.
+func (r LoadResult) withQuantiles(latencies *hdrhistogram.Histogram) LoadResult {
 	r.P50 = float64(latencies.ValueAtQuantile(50)) / 1e3
 	r.P99 = float64(latencies.ValueAtQuantile(99)) / 1e3
 	r.Worst = float64(latencies.Max()) / 1e3
@@ -104,73 +104,73 @@
 		Failed: r.Failed + other.Failed, Unanswered: r.Unanswered + other.Unanswered}
 }
 
-// note changes the counts.
-func (l *load) note(change func(*LoadResult)) {
+// updateResult changes the counts.
+func (l *loadGenerator) updateResult(change func(*LoadResult)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	change(&l.result)
 }
 
 // schedule makes each request due at its time.
-func (l *load) schedule(ctx context.Context) {
+func (l *loadGenerator) schedule(ctx context.Context) {
 	random := rand.New(rand.NewPCG(l.options.seed, 1))
-	begun := time.Now()
-	for i := range l.options.count() {
-		at := begun.Add(time.Duration(float64(i) / l.options.rate * float64(time.Second)))
+	started := time.Now()
+	for i := range l.options.maxRequests() {
+		dueAt := started.Add(time.Duration(float64(i) / l.options.rate * float64(time.Second)))
 		select {
-		case <-time.After(time.Until(at)):
+		case <-time.After(time.Until(dueAt)):
 		case <-ctx.Done():
 			return
 		}
-		l.note(func(r *LoadResult) { r.Sent++ })
-		l.due <- arrival{at, requestText(random)}
+		l.updateResult(func(r *LoadResult) { r.Sent++ })
+		l.due <- scheduledRequest{dueAt, randomRequest(random)}
 	}
 }
 
-// requestText is one request of a random customer and class.
-func requestText(random *rand.Rand) []byte {
+// randomRequest is one request of a random customer and class.
+func randomRequest(random *rand.Rand) []byte {
 	customer := fmt.Sprintf("%016x", random.IntN(TargetTenants))
 	id := fmt.Sprintf("%016x", random.Uint64())
 	parameters := "t=classroom,units=1,spread=3,first=0"
-	text := []byte(nil)
-	switch share := random.Float64(); {
-	case share < 0.48:
-		text = redcon.AppendArray(text, 4)
-		text = redcon.AppendBulkString(text, "Q.ASK")
+	command := []byte(nil)
+	switch draw := random.Float64(); {
+	case draw < 0.48:
+		command = redcon.AppendArray(command, 4)
+		command = redcon.AppendBulkString(command, "Q.ASK")
 		parameters += ",c=view,d=4000"
-	case share < 0.76:
-		text = redcon.AppendArray(text, 5)
-		text = redcon.AppendBulkString(text, "Q.DO")
+	case draw < 0.76:
+		command = redcon.AppendArray(command, 5)
+		command = redcon.AppendBulkString(command, "Q.DO")
 		parameters += ",c=draft,d=7500,k=" + id
 	default:
-		text = redcon.AppendArray(text, 5)
-		text = redcon.AppendBulkString(text, "Q.DO")
+		command = redcon.AppendArray(command, 5)
+		command = redcon.AppendBulkString(command, "Q.DO")
 		parameters += ",c=submit,d=15000"
 	}
-	isDo := text[1] == '5'
-	text = redcon.AppendBulkString(text, customer)
-	text = redcon.AppendBulkString(text, id)
-	text = redcon.AppendBulkString(text, parameters)
-	if isDo {
-		text = redcon.AppendBulkString(text, "BODY")
+	hasBody := command[1] == '5'
+	command = redcon.AppendBulkString(command, customer)
+	command = redcon.AppendBulkString(command, id)
+	command = redcon.AppendBulkString(command, parameters)
+	if hasBody {
+		command = redcon.AppendBulkString(command, "BODY")
 	}
-	return text
+	return command
 }
 
 // work sends requests that are due on one connection after another.
-func (l *load) work() {
+func (l *loadGenerator) work() {
 	var connection net.Conn
-	var answers *bufio.Reader
+	var replies *bufio.Reader
 	for request := range l.due {
 		if connection == nil {
 			var err error
 			if connection, err = net.Dial("tcp", l.options.address); err != nil {
-				l.note(func(r *LoadResult) { r.Unanswered++ })
+				l.updateResult(func(r *LoadResult) { r.Unanswered++ })
 				continue
 			}
-			answers = bufio.NewReader(connection)
+			replies = bufio.NewReader(connection)
 		}
-		if !l.exchange(connection, answers, request) {
+		if !l.roundTrip(connection, replies, request) {
 			connection.Close()
 			connection = nil
 		}
@@ -180,28 +180,28 @@
 	}
 }
 
-// exchange sends one request and takes its answer. It returns false if the
+// roundTrip sends one request and takes its answer. It returns false if the
 // connection is of no further use.
-func (l *load) exchange(connection net.Conn, answers *bufio.Reader, request arrival) bool {
-	connection.SetDeadline(time.Now().Add(answerWithin))
-	if _, err := connection.Write(request.text); err != nil {
-		l.note(func(r *LoadResult) { r.Unanswered++ })
+func (l *loadGenerator) roundTrip(connection net.Conn, replies *bufio.Reader, request scheduledRequest) bool {
+	connection.SetDeadline(time.Now().Add(replyTimeout))
+	if _, err := connection.Write(request.command); err != nil {
+		l.updateResult(func(r *LoadResult) { r.Unanswered++ })
 		return false
 	}
-	line, err := answers.ReadString('\n')
+	line, err := replies.ReadString('\n')
 	if err == nil && line[0] == '$' {
-		_, err = answers.ReadString('\n')
+		_, err = replies.ReadString('\n')
 	}
 	if err != nil {
-		l.note(func(r *LoadResult) { r.Unanswered++ })
+		l.updateResult(func(r *LoadResult) { r.Unanswered++ })
 		return false
 	}
-	l.count(line, time.Since(request.at))
+	l.recordReply(line, time.Since(request.dueAt))
 	return true
 }
 
-// count takes an answer's first line and its time.
-func (l *load) count(line string, latency time.Duration) {
+// recordReply takes an answer's first line and its time.
+func (l *loadGenerator) recordReply(line string, latency time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	switch {
@@ -212,5 +212,5 @@
 	default:
 		l.result.Failed++
 	}
-	l.latencies.RecordValue(min(latency, longestLatency).Microseconds())
+	l.latencies.RecordValue(min(latency, maxRecordedLatency).Microseconds())
 }
--- a/internal/scale/machine.go
+++ b/internal/scale/machine.go
@@ -18,13 +18,13 @@
 	Go       string `json:"go"`
 }
 
-func thisMachine() Machine {
-	total, _ := memoryField("/proc/meminfo", "MemTotal:") // 0 where the system does not tell
+func currentMachine() Machine {
+	total, _ := procMemoryField("/proc/meminfo", "MemTotal:") // 0 where the system does not tell
 	return Machine{Cores: runtime.NumCPU(), MemoryMB: int(total >> 20), Go: runtime.Version()}
 }
 
-// memoryField reads a figure in kB of a file of the proc file system, in bytes.
-func memoryField(path, name string) (int64, error) {
+// procMemoryField reads a figure in kB of a file of the proc file system, in bytes.
+func procMemoryField(path, name string) (int64, error) {
 	file, err := os.Open(path)
 	if err != nil {
 		return 0, err
@@ -32,9 +32,9 @@
 	defer file.Close()
 	lines := bufio.NewScanner(file)
 	for lines.Scan() {
-		words := strings.Fields(lines.Text())
-		if len(words) >= 2 && words[0] == name {
-			kilobytes, err := strconv.ParseInt(words[1], 10, 64)
+		fields := strings.Fields(lines.Text())
+		if len(fields) >= 2 && fields[0] == name {
+			kilobytes, err := strconv.ParseInt(fields[1], 10, 64)
 			return kilobytes << 10, err
 		}
 	}
@@ -43,14 +43,14 @@
 
 // residentMemory is what a process holds in memory, in bytes.
 func residentMemory(pid int) (int64, error) {
-	return memoryField(fmt.Sprintf("/proc/%d/status", pid), "VmRSS:")
+	return procMemoryField(fmt.Sprintf("/proc/%d/status", pid), "VmRSS:")
 }
 
-// ticksPerSecond is the unit of the system's figures of processor time.
-const ticksPerSecond = 100
+// clockTicksPerSecond is the unit of the system's figures of processor time.
+const clockTicksPerSecond = 100
 
-// processorTime is what a process has used of all cores.
-func processorTime(pid int) (time.Duration, error) {
+// processCPUTime is what a process has used of all cores.
+func processCPUTime(pid int) (time.Duration, error) {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return 0, err
@@ -69,5 +69,5 @@
 		}
 		sum += ticks
 	}
-	return time.Duration(sum) * time.Second / ticksPerSecond, nil
+	return time.Duration(sum) * time.Second / clockTicksPerSecond, nil
 }
--- a/internal/scale/process.go
+++ b/internal/scale/process.go
@@ -17,89 +17,89 @@
 )
 
 const (
-	readyWithin  = 30 * time.Second       // an ingress that is not ready by then has failed
-	endWithin    = 20 * time.Second       // and one that has not ended by then after SIGTERM
-	readyPause   = 2 * time.Millisecond   // between two questions whether it is
-	readyTimeout = 500 * time.Millisecond // of one such question
+	readyTimeout      = 30 * time.Second       // an ingress that is not ready by then has failed
+	stopTimeout       = 20 * time.Second       // and one that has not ended by then after SIGTERM
+	readyPollInterval = 2 * time.Millisecond   // between two questions whether it is
+	pingTimeout       = 500 * time.Millisecond // of one such question
 )
 
-// processSpec is what one ingress process is told.
-type processSpec struct {
-	program   string
-	name      string
-	self      int
-	ingresses int
-	discovery string
-	known     *membership.List
-	sockets   int
+// ingressSpec is what one ingress process is told.
+type ingressSpec struct {
+	program    string
+	name       string
+	index      int
+	ingresses  int
+	discovery  string
+	knownList  *membership.List
+	maxSockets int
 }
 
-// process is a running ingress.
-type process struct {
-	command *exec.Cmd
-	folder  string
-	listen  string
-	ended   chan struct{}
-	err     error // valid once ended is closed
-	begun   time.Time
-	ready   time.Duration // from its start to its first answer
+// ingressProcess is a running ingress.
+type ingressProcess struct {
+	command    *exec.Cmd
+	directory  string
+	address    string
+	exited     chan struct{}
+	exitErr    error // valid once ended is closed
+	started    time.Time
+	readyAfter time.Duration // from its start to its first answer
 }
 
-// startProcess starts an ingress and waits until it is ready. The caller stops it.
-func startProcess(ctx context.Context, spec processSpec) (*process, error) {
-	folder, err := os.MkdirTemp("", "scale-")
+// startIngress starts an ingress and waits until it is ready. The caller stops it.
+func startIngress(ctx context.Context, spec ingressSpec) (*ingressProcess, error) {
+	directory, err := os.MkdirTemp("", "scale-")
 	if err != nil {
 		return nil, err
 	}
-	p := &process{folder: folder, ended: make(chan struct{})}
-	if err := p.start(ctx, spec); err != nil {
-		os.RemoveAll(folder)
+	process := &ingressProcess{directory: directory, exited: make(chan struct{})}
+	if err := process.start(ctx, spec); err != nil {
+		os.RemoveAll(directory)
 		return nil, err
 	}
-	if err := p.waitReady(ctx); err != nil {
-		p.stop()
+	if err := process.waitReady(ctx); err != nil {
+		process.stop()
 		return nil, fmt.Errorf("ingress %s: %w", spec.name, err)
 	}
-	return p, nil
+	return process, nil
 }
 
-func (p *process) start(ctx context.Context, spec processSpec) error {
-	listen, err := freeAddress()
+func (p *ingressProcess) start(ctx context.Context, spec ingressSpec) error {
+	address, err := freeAddress()
 	if err != nil {
 		return err
 	}
-	p.listen = listen
-	text, err := configText(spec, listen)
+	p.address = address
+	config, err := configJSON(spec, address)
 	if err != nil {
 		return err
 	}
-	path := filepath.Join(p.folder, "config.json")
-	if err := os.WriteFile(path, text, 0o600); err != nil {
+	path := filepath.Join(p.directory, "config.json")
+	if err := os.WriteFile(path, config, 0o600); err != nil {
 		return err
 	}
 	p.command = exec.CommandContext(ctx, spec.program)
 	p.command.Env = append(os.Environ(), "NODE_CONFIG="+path)
 	p.command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
-	p.begun = time.Now()
+	p.started = time.Now()
 	if err := p.command.Start(); err != nil {
 		return err
 	}
 	go func() {
-		p.err = p.command.Wait()
-		close(p.ended)
+		p.exitErr = p.command.Wait()
+		close(p.exited)
 	}()
 	return nil
 }
 
-// configText is the configuration of an ingress that listens at an address.
-func configText(spec processSpec, listen string) ([]byte, error) {
+// configJSON is the configuration of an ingress that listens at an address.
+func configJSON(spec ingressSpec, address string) ([]byte, error) {
 	config := map[string]any{
-		"name": spec.name, "listen": listen, "discovery": spec.discovery, "seed": fmt.Sprintf("%x", spec.self+1),
-		"limits":   map[string]any{"cores": 1.0, "memory_mb": 192, "sockets": spec.sockets},
-		"settings": json.RawMessage(settings(spec.ingresses, spec.self)),
+		"name": spec.name, "listen": address, "discovery": spec.discovery, "seed": fmt.Sprintf("%x", spec.index+1),
+		"limits":   map[string]any{"cores": 1.0, "memory_mb": 192, "sockets": spec.maxSockets},
+		"settings": json.RawMessage(settingsJSON(spec.ingresses, spec.index)),
 	}
-	if spec.known != nil {
-		config["known"] = spec.known
+	if spec.knownList != nil {
+		config["known"] = spec.knownList
 	}
 	return json.Marshal(config)
 }
@@ -107,31 +107,31 @@
 var errNotReady = errors.New("it is not ready in time")
 
 // waitReady asks until the ingress answers that it is ready.
-func (p *process) waitReady(ctx context.Context) error {
-	for time.Since(p.begun) < readyWithin {
+func (p *ingressProcess) waitReady(ctx context.Context) error {
+	for time.Since(p.started) < readyTimeout {
 		select {
-		case <-p.ended:
-			return fmt.Errorf("it ended before it was ready: %w", p.err)
+		case <-p.exited:
+			return fmt.Errorf("it ended before it was ready: %w", p.exitErr)
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-time.After(readyPause):
+		case <-time.After(readyPollInterval):
 		}
-		if answersPing(p.listen) {
-			p.ready = time.Since(p.begun)
+		if acceptsClients(p.address) {
+			p.readyAfter = time.Since(p.started)
 			return nil
 		}
 	}
 	return errNotReady
 }
 
-// answersPing tells whether an ingress lets clients in.
-func answersPing(address string) bool {
-	connection, err := net.DialTimeout("tcp", address, readyTimeout)
+// acceptsClients tells whether an ingress lets clients in.
+func acceptsClients(address string) bool {
+	connection, err := net.DialTimeout("tcp", address, pingTimeout)
 	if err != nil {
 		return false
 	}
 	defer connection.Close()
-	line, err := ping(connection, readyTimeout)
+	line, err := ping(connection, pingTimeout)
 	return err == nil && line == "+PONG\r\n"
 }
 
@@ -145,14 +145,14 @@
 }
 
 // stop ends the process, by force if it must.
-func (p *process) stop() {
-	defer os.RemoveAll(p.folder)
+func (p *ingressProcess) stop() {
+	defer os.RemoveAll(p.directory)
 	p.command.Process.Signal(syscall.SIGTERM)
 	select {
-	case <-p.ended:
-	case <-time.After(endWithin):
+	case <-p.exited:
+	case <-time.After(stopTimeout):
 		p.command.Process.Kill()
-		<-p.ended
+		<-p.exited
 	}
 }
 
--- a/internal/scale/report.go
+++ b/internal/scale/report.go
@@ -9,11 +9,11 @@
 func (s *Slopes) Markdown() string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "%d cores, %d MB, %s; %d repetitions, minimum / median.\n", s.Machine.Cores, s.Machine.MemoryMB, s.Machine.Go, s.Repeats)
-	of := ""
+	dimension := ""
 	for _, slope := range s.Slopes {
-		if slope.Of != of {
-			of = slope.Of
-			fmt.Fprintf(&text, "\n| cost by %s | unit |", of)
+		if slope.Dimension != dimension {
+			dimension = slope.Dimension
+			fmt.Fprintf(&text, "\n| cost by %s | unit |", dimension)
 			for _, p := range slope.Points {
 				fmt.Fprintf(&text, " %d |", p.Size)
 			}
@@ -21,29 +21,29 @@
 		}
 		fmt.Fprintf(&text, "| %s | %s |", slope.Name, slope.Unit)
 		for _, p := range slope.Points {
-			fmt.Fprintf(&text, " %s / %s |", short(p.Min), short(p.Median))
+			fmt.Fprintf(&text, " %s / %s |", formatNumber(p.Min), formatNumber(p.Median))
 		}
-		fmt.Fprintf(&text, " %s | %.2f | %.0f%% |\n", short(slope.PerThousand), slope.Exponent, 100*slope.Residual)
+		fmt.Fprintf(&text, " %s | %.2f | %.0f%% |\n", formatNumber(slope.PerThousand), slope.Exponent, 100*slope.Residual)
 	}
 	return text.String()
 }
 
-// short is a number with three significant digits at most.
-func short(v float64) string { return fmt.Sprintf("%.3g", v) }
+// formatNumber is a number with three significant digits at most.
+func formatNumber(v float64) string { return fmt.Sprintf("%.3g", v) }
 
 // Markdown is a table of what each phase cost, and one of the figures; those over
 // their budget are marked.
 func (r *RunResult) Markdown() string {
 	var text strings.Builder
-	o := r.Options
+	options := r.Options
 	fmt.Fprintf(&text, "%d cores, %d MB, %s; %d ingresses, %d of them real, before %d backends; %s requests a second to each real one; seed %d.\n",
-		r.Machine.Cores, r.Machine.MemoryMB, r.Machine.Go, o.Ingresses, o.Real, o.Backends, short(o.Rate), o.Seed)
+		r.Machine.Cores, r.Machine.MemoryMB, r.Machine.Go, options.Ingresses, options.Real, options.Backends, formatNumber(options.Rate), options.Seed)
 	text.WriteString("\n| phase | s | changes | lines | processor, % of a core | KB/s, mean | KB/s, most | worst second, MB to all | " +
 		"held: median, s | p99, s | last, s | latency: p50, ms | p99, ms | worst, ms | unserved |\n| --- |" + strings.Repeat(" --- |", 14) + "\n")
 	for _, p := range r.Phases {
-		fmt.Fprintf(&text, "| %s | %s | %d | %d |"+strings.Repeat(" %s |", 10)+" %d |\n", p.Name, short(p.Seconds), p.Changes, p.Lines,
-			short(p.Processor), short(p.Bytes), short(p.MostBytes), short(p.Worst), short(p.Median), short(p.P99), short(p.Last),
-			short(p.Load.P50), short(p.Load.P99), short(p.Load.Worst), p.Load.Refused+p.Load.Failed+p.Load.Unanswered)
+		fmt.Fprintf(&text, "| %s | %s | %d | %d |"+strings.Repeat(" %s |", 10)+" %d |\n", p.Name, formatNumber(p.Seconds), p.Changes, p.UpdatedMembers,
+			formatNumber(p.CPUPercent), formatNumber(p.KBPerSecond), formatNumber(p.MaxKBPerSecond), formatNumber(p.WorstSecondMB), formatNumber(p.MedianDelay), formatNumber(p.P99Delay), formatNumber(p.LastDelay),
+			formatNumber(p.Load.P50), formatNumber(p.Load.P99), formatNumber(p.Load.Worst), p.Load.Refused+p.Load.Failed+p.Load.Unanswered)
 	}
 	writeFigures(&text, r.Figures)
 	return text.String()
@@ -62,11 +62,11 @@
 	for _, f := range figures {
 		budget, mark := "", ""
 		if f.Budget != nil {
-			budget = short(f.Budget.Most)
+			budget = formatNumber(f.Budget.Max)
 		}
-		if f.Over() {
+		if f.OverBudget() {
 			mark = "**over budget**"
 		}
-		fmt.Fprintf(text, "| %s | %s | %s | %s | %s |\n", f.Name, short(f.Value), f.Unit, budget, mark)
+		fmt.Fprintf(text, "| %s | %s | %s | %s | %s |\n", f.Name, formatNumber(f.Value), f.Unit, budget, mark)
 	}
 }
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -34,15 +34,15 @@
 
 // The size of the whole run.
 const (
-	hollowProcessesPerCore = 1
-	releaseSteps           = 20
-	releaseStepsInCut      = 4
-	settleWithin           = 60 * time.Second       // until all ingresses hold a change, at the longest
-	settlePause            = 100 * time.Millisecond // between two looks whether they do
-	memoryPerIngress       = 512 << 10              // bytes, besides what the list takes
-	memoryPerBackend       = 1110                   // bytes at each ingress: 850 as measured, and the garbage allowed
-	memoryShare            = 2                      // the run takes 1 of so many parts of the machine's memory at most
-	mostProcesses          = 300
+	controlPlaneProcessesPerCore = 1
+	releaseSteps                 = 20
+	partitionReleaseSteps        = 4
+	convergenceTimeout           = 60 * time.Second       // until all ingresses hold a change, at the longest
+	convergencePollInterval      = 100 * time.Millisecond // between two looks whether they do
+	memoryPerIngress             = 512 << 10              // bytes, besides what the list takes
+	memoryPerBackend             = 1110                   // bytes at each ingress: 850 as measured, and the garbage allowed
+	memoryDivisor                = 2                      // the run takes 1 of so many parts of the machine's memory at most
+	maxProcesses                 = 300
 )
 
 // Check tells what of the options can't be run on this machine.
@@ -50,75 +50,75 @@
 	if o.Real < 0 || o.Real >= o.Ingresses {
 		return fmt.Errorf("%d real ingresses of %d: some must be without clients", o.Real, o.Ingresses)
 	}
-	if o.Ingresses > agentsInAll {
-		return fmt.Errorf("%d ingresses: there are %d addresses for agents", o.Ingresses, agentsInAll)
+	if o.Ingresses > maxAgents {
+		return fmt.Errorf("%d ingresses: there are %d addresses for agents", o.Ingresses, maxAgents)
 	}
-	if o.Real+runtime.NumCPU() >= mostProcesses {
-		return fmt.Errorf("%d real ingresses: the run would start over %d processes", o.Real, mostProcesses)
+	if o.Real+runtime.NumCPU() >= maxProcesses {
+		return fmt.Errorf("%d real ingresses: the run would start over %d processes", o.Real, maxProcesses)
 	}
 	need := int64(o.Ingresses) * (memoryPerIngress + memoryPerBackend*int64(o.Backends))
-	total := int64(thisMachine().MemoryMB) << 20
-	if need > total/memoryShare {
+	total := int64(currentMachine().MemoryMB) << 20
+	if need > total/memoryDivisor {
 		return fmt.Errorf("%d ingresses and %d backends take about %d MB, over half of the machine's %d MB",
 			o.Ingresses, o.Backends, need>>20, total>>20)
 	}
 	return nil
 }
 
-// hollows are how many ingresses run without clients.
-func (o RunOptions) hollows() int { return o.Ingresses - o.Real }
+// controlPlaneCount are how many ingresses run without clients.
+func (o RunOptions) controlPlaneCount() int { return o.Ingresses - o.Real }
 
 // phaseStart is the phase in which all ingresses get their first list.
 const phaseStart = "start"
 
 // Phase is what one part of the timeline cost each ingress without clients.
 type Phase struct {
-	Name      string  `json:"name"`
-	Seconds   float64 `json:"seconds"`
-	Changes   int     `json:"changes"`           // told by discovery
-	Lines     int     `json:"lines"`             // in them
-	Processor float64 `json:"processor_percent"` // of a core, the mean ingress
-	Bytes     float64 `json:"bytes_kb_per_s"`    // the mean ingress
-	MostBytes float64 `json:"most_bytes_kb_per_s"`
-	Worst     float64 `json:"worst_second_mb"` // of what discovery sends to all
-	Median    float64 `json:"median_s"`        // from a change until an ingress holds it
-	P99       float64 `json:"p99_s"`
-	Last      float64 `json:"last_s"`
+	Name           string  `json:"name"`
+	Seconds        float64 `json:"seconds"`
+	Changes        int     `json:"changes"`           // told by discovery
+	UpdatedMembers int     `json:"lines"`             // in them
+	CPUPercent     float64 `json:"processor_percent"` // of a core, the mean ingress
+	KBPerSecond    float64 `json:"bytes_kb_per_s"`    // the mean ingress
+	MaxKBPerSecond float64 `json:"most_bytes_kb_per_s"`
+	WorstSecondMB  float64 `json:"worst_second_mb"` // of what discovery sends to all
+	MedianDelay    float64 `json:"median_s"`        // from a change until an ingress holds it
+	P99Delay       float64 `json:"p99_s"`
+	LastDelay      float64 `json:"last_s"`
 
 	Load LoadResult `json:"load"` // of the real ingresses together
 }
 
 // RunResult is what a run has measured.
 type RunResult struct {
-	Machine  Machine    `json:"machine"`
-	Options  RunOptions `json:"options"`
-	Phases   []Phase    `json:"phases"`
-	Resident []float64  `json:"resident_real_mb"`
-	Figures  []Figure   `json:"figures"`
+	Machine    Machine    `json:"machine"`
+	Options    RunOptions `json:"options"`
+	Phases     []Phase    `json:"phases"`
+	ResidentMB []float64  `json:"resident_real_mb"`
+	Figures    []Figure   `json:"figures"`
 }
 
-// Over tells whether a figure breaks its budget.
-func (r *RunResult) Over() bool { return anyOver(r.Figures) }
+// OverBudget tells whether a figure breaks its budget.
+func (r *RunResult) OverBudget() bool { return anyOverBudget(r.Figures) }
 
 // run is a run under way.
 type run struct {
-	ctx       context.Context
-	options   RunOptions
-	backends  *backends
-	discovery *discovery
-	hollows   []*hollow
-	real      []*process
-	fleet     membership.List // as it now is, by the number of each backend
-	result    *RunResult
+	ctx           context.Context
+	options       RunOptions
+	backends      *backendStub
+	discovery     *discoveryStub
+	controlPlanes []*controlPlaneProcess
+	realIngresses []*ingressProcess
+	fleet         membership.List // as it now is, by the number of each backend
+	result        *RunResult
 
 	// Of the phase under way.
-	published map[int64]int64 // by revision, Unix time in microseconds
-	lines     int
-	excluded  map[int64]bool // revisions told while some ingresses could not hear
-	loads     []*load
-	latencies *hdrhistogram.Histogram // of the whole run, in microseconds
-	resident  float64                 // MB of the mean ingress without clients, the most so far
-	heap      float64                 // MB of it in use at the end
+	publishedAt    map[int64]int64 // by revision, Unix time in microseconds
+	updatedMembers int
+	excluded       map[int64]bool // revisions told while some ingresses could not hear
+	generators     []*loadGenerator
+	latencies      *hdrhistogram.Histogram // of the whole run, in microseconds
+	residentMB     float64                 // MB of the mean ingress without clients, the most so far
+	heapMB         float64                 // MB of it in use at the end
 }
 
 // Run plays one timeline: a quiet time, the replacement of a part of the
@@ -128,68 +128,68 @@
 	if err := options.Check(); err != nil {
 		return nil, err
 	}
-	r := &run{ctx: ctx, options: options, result: &RunResult{Machine: thisMachine(), Options: options}, latencies: newHistogram()}
+	r := &run{ctx: ctx, options: options, result: &RunResult{Machine: currentMachine(), Options: options}, latencies: newHistogram()}
 	defer r.stop()
 	if err := r.start(); err != nil {
 		return nil, err
 	}
-	if err := r.play(); err != nil {
+	if err := r.runTimeline(); err != nil {
 		return nil, err
 	}
-	r.sumUp()
+	r.computeFigures()
 	return r.result, nil
 }
 
 // start starts the stand-ins and all ingresses.
 func (r *run) start() (err error) {
-	if r.backends, err = startBackends(); err != nil {
+	if r.backends, err = startBackendStub(); err != nil {
 		return err
 	}
 	r.fleet = newFleet(r.options.Backends, r.backends.port)
-	if r.discovery, err = startDiscovery(r.fleet, 0); err != nil {
+	if r.discovery, err = startDiscoveryStub(r.fleet, 0); err != nil {
 		return err
 	}
 	for number := range r.options.Real {
-		p, err := startProcess(r.ctx, processSpec{program: r.options.Ingress, name: fmt.Sprint("i", number), self: number,
-			ingresses: r.options.Ingresses, discovery: r.discovery.agentAddress(number), sockets: 1024})
+		process, err := startIngress(r.ctx, ingressSpec{program: r.options.Ingress, name: fmt.Sprint("i", number), index: number,
+			ingresses: r.options.Ingresses, discovery: r.discovery.agentAddress(number), maxSockets: 1024})
 		if err != nil {
 			return err
 		}
-		r.real = append(r.real, p)
+		r.realIngresses = append(r.realIngresses, process)
 	}
-	return r.startHollows()
+	return r.startControlPlanes()
 }
 
-// startHollows spreads the ingresses without clients over some processes.
-func (r *run) startHollows() error {
-	first, left := r.options.Real, r.options.hollows()
-	processes := min(left, hollowProcessesPerCore*runtime.NumCPU())
+// startControlPlanes spreads the ingresses without clients over some processes.
+func (r *run) startControlPlanes() error {
+	first, remaining := r.options.Real, r.options.controlPlaneCount()
+	processes := min(remaining, controlPlaneProcessesPerCore*runtime.NumCPU())
 	for i := range processes {
-		spec := HollowSpec{Ingresses: r.options.Ingresses, First: first}
-		for range left / (processes - i) {
+		spec := ControlPlaneSpec{Ingresses: r.options.Ingresses, First: first}
+		for range remaining / (processes - i) {
 			spec.Agents = append(spec.Agents, r.discovery.agentAddress(first))
 			first++
-			left--
+			remaining--
 		}
-		h, err := startHollow(r.ctx, r.options.Program, spec)
+		process, err := startControlPlaneProcess(r.ctx, r.options.Program, spec)
 		if err != nil {
 			return err
 		}
-		r.hollows = append(r.hollows, h)
+		r.controlPlanes = append(r.controlPlanes, process)
 	}
 	return nil
 }
 
 // stop ends all that start has started, at the same time.
 func (r *run) stop() {
-	var ending sync.WaitGroup
-	for _, p := range r.real {
-		ending.Go(p.stop)
+	var stopping sync.WaitGroup
+	for _, process := range r.realIngresses {
+		stopping.Go(process.stop)
 	}
-	for _, h := range r.hollows {
-		ending.Go(h.stop)
+	for _, process := range r.controlPlanes {
+		stopping.Go(process.stop)
 	}
-	ending.Wait()
+	stopping.Wait()
 	if r.discovery != nil {
 		r.discovery.close()
 	}
@@ -198,127 +198,127 @@
 	}
 }
 
-// play runs the timeline under load.
-func (r *run) play() error {
-	if err := r.phase(phaseStart, func() error { return nil }); err != nil {
+// runTimeline runs the timeline under load.
+func (r *run) runTimeline() error {
+	if err := r.runPhase(phaseStart, func() error { return nil }); err != nil {
 		return err
 	}
-	loadDone := r.startLoad()
+	stopLoad := r.startLoad()
 	steps := []struct {
-		name string
-		play func() error
+		name   string
+		action func() error
 	}{
 		{"quiet", func() error { return r.sleep(r.options.Quiet) }},
 		{"release", r.release},
-		{"zone lost", r.loseZone},
-		{"zone back", r.returnZone},
-		{"half cut off", r.cutOff},
+		{"zone lost", r.failZone},
+		{"zone back", r.restoreZone},
+		{"half cut off", r.partitionHalf},
 		{"half back", r.reconnect},
 	}
 	for _, step := range steps {
-		if err := r.phase(step.name, step.play); err != nil {
+		if err := r.runPhase(step.name, step.action); err != nil {
 			return err
 		}
 	}
-	loadDone()
-	r.takeLast()
-	last, err := r.samples(askHeap)
+	stopLoad()
+	r.addLateReplies()
+	sample, err := r.sampleControlPlanes(heapSampleRequest)
 	if err != nil {
 		return err
 	}
-	r.heap = float64(last.Heap) / 1e6 / float64(r.options.hollows())
+	r.heapMB = float64(sample.Heap) / 1e6 / float64(r.options.controlPlaneCount())
 	return nil
 }
 
 // startLoad sends requests to the real ingresses until the function that it
 // returns is called, which waits for the last answers.
-func (r *run) startLoad() (done func()) {
-	o := r.options
+func (r *run) startLoad() (stopLoad func()) {
+	options := r.options
 	ctx, stop := context.WithCancel(r.ctx)
-	longest := 2*o.Quiet + o.Release + o.Zone + o.Cut + 4*settleWithin
-	var running sync.WaitGroup
-	for i, p := range r.real {
-		l := newLoad(loadOptions{address: p.listen, rate: o.Rate, length: longest, seed: o.Seed + uint64(i)})
-		r.loads = append(r.loads, l)
-		running.Go(func() { l.run(ctx) })
+	maxDuration := 2*options.Quiet + options.Release + options.Zone + options.Cut + 4*convergenceTimeout
+	var pending sync.WaitGroup
+	for i, process := range r.realIngresses {
+		generator := newLoadGenerator(loadOptions{address: process.address, rate: options.Rate, duration: maxDuration, seed: options.Seed + uint64(i)})
+		r.generators = append(r.generators, generator)
+		pending.Go(func() { generator.run(ctx) })
 	}
 	return func() {
 		stop()
-		running.Wait()
+		pending.Wait()
 	}
 }
 
-// takeLoad sums up what became of requests since it was last called.
-func (r *run) takeLoad() (sum LoadResult) {
+// takeLoadResults sums up what became of requests since it was last called.
+func (r *run) takeLoadResults() (sum LoadResult) {
 	latencies := newHistogram()
-	for _, l := range r.loads {
-		result, own := l.take()
+	for _, generator := range r.generators {
+		result, generatorLatencies := generator.takeResult()
 		sum = sum.plus(result)
-		latencies.Merge(own)
+		latencies.Merge(generatorLatencies)
 	}
 	r.latencies.Merge(latencies)
-	return sum.withLatencies(latencies)
+	return sum.withQuantiles(latencies)
 }
 
-// takeLast books what is answered after the last phase to that one, but for the
+// addLateReplies books what is answered after the last phase to that one, but for the
 // latencies, which are those of the whole run alone.
-func (r *run) takeLast() {
+func (r *run) addLateReplies() {
 	last := &r.result.Phases[len(r.result.Phases)-1].Load
-	sum := last.plus(r.takeLoad())
+	sum := last.plus(r.takeLoadResults())
 	sum.P50, sum.P99, sum.Worst = last.P50, last.P99, last.Worst
 	*last = sum
 }
 
-// phase plays one part of the timeline, waits until all ingresses hold what was
+// runPhase plays one part of the timeline, waits until all ingresses hold what was
 // told, and books what it cost.
-func (r *run) phase(name string, play func() error) error {
-	before, err := r.samples(askSample)
+func (r *run) runPhase(name string, action func() error) error {
+	before, err := r.sampleControlPlanes(sampleRequest)
 	if err != nil {
 		return err
 	}
-	r.published, r.lines, r.excluded = map[int64]int64{}, 0, map[int64]bool{}
+	r.publishedAt, r.updatedMembers, r.excluded = map[int64]int64{}, 0, map[int64]bool{}
 	if name != phaseStart {
 		r.discovery.resetTraffic()
 	}
-	begun := time.Now()
-	if err := play(); err != nil {
+	started := time.Now()
+	if err := action(); err != nil {
 		return err
 	}
-	after, applied, err := r.settle(before)
+	after, applied, err := r.awaitConvergence(before)
 	if err != nil {
 		return fmt.Errorf("%s: %w", name, err)
 	}
-	took := time.Since(begun).Seconds()
-	hollows := r.options.hollows()
-	total, most, worst := r.discovery.sentSoFar()
-	p := Phase{Name: name, Seconds: took, Changes: len(r.published), Lines: r.lines,
-		Processor: 100 * (after.Processor - before.Processor).Seconds() / took / float64(hollows),
-		Bytes:     float64(total) / 1e3 / took / float64(r.options.Ingresses),
-		MostBytes: float64(most) / 1e3 / took,
-		Worst:     float64(worst) / 1e6,
-	}
-	p.Median, p.P99, p.Last = r.delays(applied)
-	p.Load = r.takeLoad()
-	r.resident = max(r.resident, float64(after.Resident)/1e6/float64(hollows))
+	elapsed := time.Since(started).Seconds()
+	count := r.options.controlPlaneCount()
+	total, maxPerAgent, maxPerSecond := r.discovery.trafficTotals()
+	p := Phase{Name: name, Seconds: elapsed, Changes: len(r.publishedAt), UpdatedMembers: r.updatedMembers,
+		CPUPercent:     100 * (after.CPUTime - before.CPUTime).Seconds() / elapsed / float64(count),
+		KBPerSecond:    float64(total) / 1e3 / elapsed / float64(r.options.Ingresses),
+		MaxKBPerSecond: float64(maxPerAgent) / 1e3 / elapsed,
+		WorstSecondMB:  float64(maxPerSecond) / 1e6,
+	}
+	p.MedianDelay, p.P99Delay, p.LastDelay = r.convergenceDelays(applied)
+	p.Load = r.takeLoadResults()
+	r.residentMB = max(r.residentMB, float64(after.Resident)/1e6/float64(count))
 	r.result.Phases = append(r.result.Phases, p)
-	slog.Info("played", "phase", name, "seconds", short(took), "last_s", short(p.Last))
+	slog.Info("played", "phase", name, "seconds", formatNumber(elapsed), "last_s", formatNumber(p.LastDelay))
 	return nil
 }
 
-// samples adds up what the processes of ingresses without clients tell.
-func (r *run) samples(question string) (sum hollowSample, err error) {
-	all := make([]hollowSample, len(r.hollows))
-	failed := make([]error, len(r.hollows))
-	var asked sync.WaitGroup
-	for i, h := range r.hollows {
-		asked.Go(func() { all[i], failed[i] = h.sample(question) })
-	}
-	asked.Wait()
-	for i, sample := range all {
-		if failed[i] != nil {
-			return sum, failed[i]
+// sampleControlPlanes adds up what the processes of ingresses without clients tell.
+func (r *run) sampleControlPlanes(request string) (sum controlPlaneSample, err error) {
+	samples := make([]controlPlaneSample, len(r.controlPlanes))
+	errs := make([]error, len(r.controlPlanes))
+	var pending sync.WaitGroup
+	for i, process := range r.controlPlanes {
+		pending.Go(func() { samples[i], errs[i] = process.sample(request) })
+	}
+	pending.Wait()
+	for i, sample := range samples {
+		if errs[i] != nil {
+			return sum, errs[i]
 		}
-		sum.Processor += sample.Processor
+		sum.CPUTime += sample.CPUTime
 		sum.Resident += sample.Resident
 		sum.Heap += sample.Heap
 		sum.Applied = append(sum.Applied, sample.Applied...)
@@ -326,69 +326,69 @@
 	return sum, nil
 }
 
-// settle waits until every ingress without clients holds the last revision, and
+// awaitConvergence waits until every ingress without clients holds the last revision, and
 // returns the last sample with all lists applied since the phase began.
-func (r *run) settle(before hollowSample) (last hollowSample, applied []appliedList, err error) {
-	wanted := r.discovery.revision()
-	held := map[int]bool{}
-	note := func(lists []appliedList) {
+func (r *run) awaitConvergence(before controlPlaneSample) (last controlPlaneSample, applied []appliedList, err error) {
+	target := r.discovery.currentRevision()
+	converged := map[int]bool{}
+	addApplied := func(lists []appliedList) {
 		applied = append(applied, lists...)
 		for _, l := range lists {
-			if l.Revision >= wanted {
-				held[l.Ingress] = true
+			if l.Revision >= target {
+				converged[l.Ingress] = true
 			}
 		}
 	}
-	note(before.Applied)
-	hollows := r.options.hollows()
-	quiet := len(r.published) == 0 && len(r.result.Phases) > 0
-	for begun := time.Now(); ; {
-		if last, err = r.samples(askSample); err != nil {
+	addApplied(before.Applied)
+	count := r.options.controlPlaneCount()
+	noChanges := len(r.publishedAt) == 0 && len(r.result.Phases) > 0
+	for started := time.Now(); ; {
+		if last, err = r.sampleControlPlanes(sampleRequest); err != nil {
 			return last, nil, err
 		}
-		note(last.Applied)
-		if quiet || len(held) == hollows || len(r.excluded) > 0 {
+		addApplied(last.Applied)
+		if noChanges || len(converged) == count || len(r.excluded) > 0 {
 			return last, applied, nil
 		}
-		if time.Since(begun) > settleWithin {
-			return last, nil, fmt.Errorf("%d of %d ingresses hold revision %d after %v", len(held), hollows, wanted, settleWithin)
+		if time.Since(started) > convergenceTimeout {
+			return last, nil, fmt.Errorf("%d of %d ingresses hold revision %d after %v", len(converged), count, target, convergenceTimeout)
 		}
-		if err := r.sleep(settlePause); err != nil {
+		if err := r.sleep(convergencePollInterval); err != nil {
 			return last, nil, err
 		}
 	}
 }
 
-// delays tell how long it took from each change until each ingress held it, in
+// convergenceDelays tell how long it took from each change until each ingress held it, in
 // seconds: the median, that of 99 in 100, and the last.
-func (r *run) delays(applied []appliedList) (median, p99, last float64) {
+func (r *run) convergenceDelays(applied []appliedList) (median, p99, last float64) {
 	byIngress := map[int][]appliedList{}
 	for _, l := range applied {
 		byIngress[l.Ingress] = append(byIngress[l.Ingress], l)
 	}
-	var all []float64
+	var delays []float64
 	for _, lists := range byIngress {
 		slices.SortFunc(lists, func(a, b appliedList) int { return int(a.At - b.At) })
-		for revision, at := range r.published {
+		for revision, at := range r.publishedAt {
 			i := slices.IndexFunc(lists, func(l appliedList) bool { return l.Revision >= revision })
 			if i >= 0 && !r.excluded[revision] {
-				all = append(all, float64(lists[i].At-at)/1e6)
+				delays = append(delays, float64(lists[i].At-at)/1e6)
 			}
 		}
 	}
-	if len(all) == 0 {
+	if len(delays) == 0 {
 		return 0, 0, 0
 	}
-	slices.Sort(all)
-	return all[len(all)/2], all[len(all)*99/100], all[len(all)-1]
+	slices.Sort(delays)
+	return delays[len(delays)/2], delays[len(delays)*99/100], delays[len(delays)-1]
 }
 
 // publish tells a change.
 func (r *run) publish(members ...*membership.Member) {
 	at := time.Now().UnixMicro()
 	revision := r.discovery.publish(members...)
-	r.published[revision] = at
-	r.lines += len(members)
+	r.publishedAt[revision] = at
+	r.updatedMembers += len(members)
 }
 
 func (r *run) sleep(d time.Duration) error {
--- a/internal/scale/run_test.go
+++ b/internal/scale/run_test.go
@@ -10,42 +10,42 @@
 	"time"
 )
 
-func TestRunThatDoesNotFitTheMachineIsRefused(t *testing.T) {
+func TestCheckRejectsOversizedRun(t *testing.T) {
 	fits := RunOptions{Ingresses: 20, Real: 1, Backends: 200}
 	if err := fits.Check(); err != nil {
 		t.Errorf("a small run is refused: %v", err)
 	}
-	for what, change := range map[string]func(*RunOptions){
+	for want, change := range map[string]func(*RunOptions){
 		"MB":        func(o *RunOptions) { o.Ingresses, o.Backends = 10_000, 1_000_000 },
 		"clients":   func(o *RunOptions) { o.Real = o.Ingresses },
-		"addresses": func(o *RunOptions) { o.Ingresses, o.Backends = agentsInAll+1, 0 },
+		"addresses": func(o *RunOptions) { o.Ingresses, o.Backends = maxAgents+1, 0 },
 		"processes": func(o *RunOptions) { o.Ingresses, o.Real = 400, 320 },
 	} {
 		o := fits
 		change(&o)
-		if err := o.Check(); err == nil || !strings.Contains(err.Error(), what) {
-			t.Errorf("%s: the error is %v", what, err)
+		if err := o.Check(); err == nil || !strings.Contains(err.Error(), want) {
+			t.Errorf("%s: the error is %v", want, err)
 		}
 	}
 }
 
 // Delays count from a change until an ingress holds it or a later one.
-func TestDelaysCountFromTheChange(t *testing.T) {
-	r := &run{published: map[int64]int64{2: 1_000_000, 3: 2_000_000, 4: 9_000_000}, excluded: map[int64]bool{4: true}}
-	median, p99, last := r.delays([]appliedList{
+func TestConvergenceDelaysCountFromPublication(t *testing.T) {
+	r := &run{publishedAt: map[int64]int64{2: 1_000_000, 3: 2_000_000, 4: 9_000_000}, excluded: map[int64]bool{4: true}}
+	median, p99, last := r.convergenceDelays([]appliedList{
 		{Ingress: 1, Revision: 2, At: 1_100_000}, {Ingress: 1, Revision: 3, At: 2_200_000},
 		{Ingress: 2, Revision: 3, At: 2_300_000}, // it has heard of both changes at once
 		{Ingress: 2, Revision: 4, At: 99_000_000},
 	})
-	if !near(last, 1.3) || !near(p99, 1.3) || !near(median, 0.3) {
+	if !almostEqual(last, 1.3) || !almostEqual(p99, 1.3) || !almostEqual(median, 0.3) {
 		t.Errorf("median %v, p99 %v, last %v; want 0.3, 1.3 and 1.3", median, p99, last)
 	}
 }
 
-// question asks a process of hollow ingresses, here a goroutine, for a sample.
-func question(t *testing.T, in io.Writer, samples *json.Decoder) (sample hollowSample) {
+// requestSample asks a process of hollow ingresses, here a goroutine, for a sample.
+func requestSample(t *testing.T, in io.Writer, samples *json.Decoder) (sample controlPlaneSample) {
 	t.Helper()
-	if _, err := io.WriteString(in, askHeap); err != nil {
+	if _, err := io.WriteString(in, heapSampleRequest); err != nil {
 		t.Fatal(err)
 	}
 	if err := samples.Decode(&sample); err != nil {
@@ -56,27 +56,27 @@
 
 // Ingresses without clients follow discovery, tell when a list is in force, and
 // end with their input.
-func TestHollowIngressesFollowDiscovery(t *testing.T) {
+func TestControlPlanesFollowDiscovery(t *testing.T) {
 	d, fleet := newTestDiscovery(t, 50)
-	in, tell := io.Pipe()
-	answers, out := io.Pipe()
-	ended := make(chan error, 1)
-	go func() { ended <- RunHollow(t.Context(), in, out) }()
-	spec := HollowSpec{Ingresses: 9, First: 4, Agents: []string{d.agentAddress(4), d.agentAddress(5)}}
-	if err := json.NewEncoder(tell).Encode(spec); err != nil {
+	in, requests := io.Pipe()
+	replies, out := io.Pipe()
+	exited := make(chan error, 1)
+	go func() { exited <- RunControlPlanes(t.Context(), in, out) }()
+	spec := ControlPlaneSpec{Ingresses: 9, First: 4, Agents: []string{d.agentAddress(4), d.agentAddress(5)}}
+	if err := json.NewEncoder(requests).Encode(spec); err != nil {
 		t.Fatal(err)
 	}
-	samples := json.NewDecoder(answers)
+	samples := json.NewDecoder(replies)
 	await := func(revision int64) {
 		t.Helper()
 		held := map[int]bool{}
-		for begun := time.Now(); len(held) < 2; {
-			sample := question(t, tell, samples)
+		for started := time.Now(); len(held) < 2; {
+			sample := requestSample(t, requests, samples)
 			for _, l := range sample.Applied {
 				held[l.Ingress] = held[l.Ingress] || l.Revision == revision
 			}
-			if sample.Processor <= 0 || sample.Resident <= 0 || sample.Heap <= 0 || time.Since(begun) > patience {
-				t.Fatalf("after %v the sample is %+v", time.Since(begun), sample)
+			if sample.CPUTime <= 0 || sample.Resident <= 0 || sample.Heap <= 0 || time.Since(started) > testTimeout {
+				t.Fatalf("after %v the sample is %+v", time.Since(started), sample)
 			}
 		}
 		if !held[4] || !held[5] {
@@ -86,22 +86,22 @@
 	await(1)
 	d.publish(fleet.Members[7])
 	await(2)
-	tell.Close()
-	if err := <-ended; err != nil {
+	requests.Close()
+	if err := <-exited; err != nil {
 		t.Errorf("the end of the input ends it with %v", err)
 	}
 }
 
-func TestHollowWithoutASpecificationFails(t *testing.T) {
+func TestRunControlPlanesRejectsInvalidSpec(t *testing.T) {
 	for _, text := range []string{"", "no json\n", `{"agents":["127.0.0.1:1"],"ingresses":0}` + "\n"} {
-		if err := RunHollow(t.Context(), strings.NewReader(text), io.Discard); err == nil {
+		if err := RunControlPlanes(t.Context(), strings.NewReader(text), io.Discard); err == nil {
 			t.Errorf("%q runs", text)
 		}
 	}
 }
 
-// server answers each connection's commands with the same line.
-func server(t *testing.T, answer string) (address string) {
+// startReplyServer answers each connection's commands with the same line.
+func startReplyServer(t *testing.T, answer string) (address string) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -136,17 +136,17 @@
 	return listener.Addr().String()
 }
 
-func TestLoadCountsWhatBecomesOfRequests(t *testing.T) {
+func TestLoadGeneratorCountsOutcomes(t *testing.T) {
 	for answer, count := range map[string]func(LoadResult) int64{
 		"$5\r\nvalue\r\n": func(r LoadResult) int64 { return r.Served },
 		"-BUSY 20\r\n":    func(r LoadResult) int64 { return r.Refused },
 		"-ERR failed\r\n": func(r LoadResult) int64 { return r.Failed },
 		"":                func(r LoadResult) int64 { return r.Unanswered },
 	} {
-		load := newLoad(loadOptions{address: server(t, answer), rate: 1000, length: 50 * time.Millisecond, seed: 3})
-		load.run(t.Context())
-		result, _ := load.take()
-		if again, _ := load.take(); again != (LoadResult{}) {
+		generator := newLoadGenerator(loadOptions{address: startReplyServer(t, answer), rate: 1000, duration: 50 * time.Millisecond, seed: 3})
+		generator.run(t.Context())
+		result, _ := generator.takeResult()
+		if again, _ := generator.takeResult(); again != (LoadResult{}) {
 			t.Errorf("taken again, the result is %+v", again)
 		}
 		if result.Sent != 50 || count(result) != 50 {
@@ -157,14 +157,14 @@
 
 // A process that is gone resets its connections and takes no new ones; the
 // others are not touched.
-func TestBackendThatIsDownResetsItsConnections(t *testing.T) {
-	b, err := startBackends()
+func TestStoppedBackendResetsConnections(t *testing.T) {
+	b, err := startBackendStub()
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(b.close)
 	ask := func(connection net.Conn) error {
-		connection.SetDeadline(time.Now().Add(patience))
+		connection.SetDeadline(time.Now().Add(testTimeout))
 		if _, err := io.WriteString(connection, "*1\r\n$4\r\nPING\r\n"); err != nil {
 			return err
 		}
@@ -198,11 +198,11 @@
 
 func TestFiguresOverBudgetAreMarked(t *testing.T) {
 	r := RunResult{Figures: []Figure{{"fine", 1, "ms", &BudgetLatency}, {"free", 99, "ms", nil}}}
-	if r.Over() || strings.Contains(r.Markdown(), "over budget") {
+	if r.OverBudget() || strings.Contains(r.Markdown(), "over budget") {
 		t.Error("figures inside their budgets are marked")
 	}
 	r.Figures = append(r.Figures, Figure{"slow", 8, "ms", &BudgetLatency})
-	if !r.Over() || !strings.Contains(r.Markdown(), "| slow | 8 | ms | 7.7 | **over budget** |") {
+	if !r.OverBudget() || !strings.Contains(r.Markdown(), "| slow | 8 | ms | 7.7 | **over budget** |") {
 		t.Errorf("the figure over its budget is not marked:\n%s", r.Markdown())
 	}
 }
--- a/internal/scale/slopes.go
+++ b/internal/scale/slopes.go
@@ -33,16 +33,16 @@
 func MeasureSlopes(ctx context.Context, options SlopeOptions) (*Slopes, error) {
 	m := &measurement{ctx: ctx, options: options, values: map[series]map[int][]float64{}}
 	sweeps := []struct {
-		of      string
-		sizes   []int
-		measure []func(size int) error
+		dimension string
+		sizes     []int
+		measure   []func(size int) error
 	}{
-		{"backends", options.Backends, []func(int) error{m.lists, m.configuration, m.requests, m.start, m.live}},
-		{"tenants", options.Tenants, []func(int) error{m.tenants}},
-		{"connections", options.Connections, []func(int) error{m.connections}},
+		{"backends", options.Backends, []func(int) error{m.measureLists, m.measureConfigReload, m.measureRequests, m.measureStart, m.measureListsUnderLoad}},
+		{"tenants", options.Tenants, []func(int) error{m.measureTenants}},
+		{"connections", options.Connections, []func(int) error{m.measureConnections}},
 	}
 	for _, sweep := range sweeps {
-		m.of = sweep.of
+		m.dimension = sweep.dimension
 		for _, size := range sweep.sizes {
 			for range options.Repeats {
 				for _, measure := range sweep.measure {
@@ -50,30 +50,30 @@
 						return nil, err
 					}
 					if err := measure(size); err != nil {
-						return nil, fmt.Errorf("%d %s: %w", size, sweep.of, err)
+						return nil, fmt.Errorf("%d %s: %w", size, sweep.dimension, err)
 					}
 				}
 			}
-			slog.Info("measured", "of", sweep.of, "size", size)
+			slog.Info("measured", "of", sweep.dimension, "size", size)
 		}
 	}
-	return &Slopes{Machine: thisMachine(), Repeats: options.Repeats, Slopes: m.slopes()}, nil
+	return &Slopes{Machine: currentMachine(), Repeats: options.Repeats, Slopes: m.slopes()}, nil
 }
 
 // series names the values of one cost.
-type series struct{ name, of, unit string }
+type series struct{ name, dimension, unit string }
 
 // measurement collects values by cost and size.
 type measurement struct {
-	ctx     context.Context
-	options SlopeOptions
-	of      string // what the sizes now count
-	order   []series
-	values  map[series]map[int][]float64
+	ctx       context.Context
+	options   SlopeOptions
+	dimension string // what the sizes now count
+	order     []series
+	values    map[series]map[int][]float64
 }
 
 func (m *measurement) record(name, unit string, size int, value float64) {
-	s := series{name, m.of, unit}
+	s := series{name, m.dimension, unit}
 	if m.values[s] == nil {
 		m.values[s] = map[int][]float64{}
 		m.order = append(m.order, s)
@@ -85,8 +85,8 @@
 	sizes := map[string][]int{
 		"backends": m.options.Backends, "tenants": m.options.Tenants, "connections": m.options.Connections}
 	for _, s := range m.order {
-		slope := Slope{Name: s.name, Of: s.of, Unit: s.unit}
-		for _, size := range sizes[s.of] {
+		slope := Slope{Name: s.name, Dimension: s.dimension, Unit: s.unit}
+		for _, size := range sizes[s.dimension] {
 			slope.Points = append(slope.Points, newPoint(size, m.values[s][size]))
 		}
 		slope.fit()
@@ -95,24 +95,24 @@
 	return all
 }
 
-// lists measures what a list, and what changes of it, cost an ingress.
-func (m *measurement) lists(size int) error {
+// measureLists measures what a list, and what changes of it, cost an ingress.
+func (m *measurement) measureLists(size int) error {
 	const port = 1
 	fleet := newFleet(size, port)
-	text := lineOf(fleet)
+	text := encodeList(fleet)
 	m.record("whole list", "KB", size, float64(len(text))/1e3)
-	cfg, err := controlConfig(TargetIngresses, 0)
+	config, err := controlPlaneConfig(TargetIngresses, 0)
 	if err != nil {
 		return err
 	}
-	before := heap()
-	control, err := ingress.NewControl(cfg, nil)
+	before := heapInUse()
+	control, err := ingress.NewControl(config, nil)
 	if err != nil {
 		return err
 	}
 	apply := func(name string, list membership.List) error {
 		runtime.GC() // the collection of what came before is not its cost
-		applied, err := control.Apply(lineOf(list))
+		applied, err := control.Apply(encodeList(list))
 		if err != nil {
 			return err
 		}
@@ -124,7 +124,7 @@
 	if err := apply("first list", fleet); err != nil {
 		return err
 	}
-	m.record("memory for backends", "MB", size, float64(heap()-before)/1e6)
+	m.record("memory for backends", "MB", size, float64(heapInUse()-before)/1e6)
 	runtime.KeepAlive(text) // it was in use before, too
 
 	now := time.Now().UnixMilli()
@@ -132,9 +132,9 @@
 	for i := range rack {
 		rack[i] = i * size / rackSize
 	}
-	zone := inZone(fleet, zones[0])
+	quarter := numbersInZone(fleet, zones[0])
 	for i := range size / 8 { // an eighth is in one zone; a quarter fails in the measured burst
-		zone = append(zone, (i*len(zones)+1)%size)
+		quarter = append(quarter, (i*len(zones)+1)%size)
 	}
 	fleet.Revision++
 	fleet.Members[size/2] = withPhase(fleet.Members[size/2], membership.PhaseServing, now)
@@ -143,11 +143,11 @@
 		list membership.List
 	}{
 		{"list with one change", fleet},
-		{"one change", changeOf(fleet, 3, membership.PhaseDraining, 0, size/3)},
-		{"a rack of 40 gone", changeOf(fleet, 4, membership.PhaseDeleted, 0, rack...)},
-		{"a rack of 40 back", changeOf(fleet, 5, membership.PhaseServing, now, rack...)},
-		{"a quarter gone", changeOf(fleet, 6, membership.PhaseDeleted, 0, zone...)},
-		{"a quarter back", changeOf(fleet, 7, membership.PhaseServing, now, zone...)},
+		{"one change", newDelta(fleet, 3, membership.PhaseDraining, 0, size/3)},
+		{"a rack of 40 gone", newDelta(fleet, 4, membership.PhaseDeleted, 0, rack...)},
+		{"a rack of 40 back", newDelta(fleet, 5, membership.PhaseServing, now, rack...)},
+		{"a quarter gone", newDelta(fleet, 6, membership.PhaseDeleted, 0, quarter...)},
+		{"a quarter back", newDelta(fleet, 7, membership.PhaseServing, now, quarter...)},
 	}
 	for _, step := range steps {
 		if err := apply(step.name, step.list); err != nil {
@@ -159,46 +159,46 @@
 }
 
 const (
-	requestsMeasured = 2000
-	customersMet     = 1000 // before these, so that each is known
+	measuredRequests = 2000
+	warmUpCustomers  = 1000 // before these, so that each is known
 )
 
-// requests measures one request with its outcome by the size of the fleet.
-func (m *measurement) requests(size int) error {
+// measureRequests measures one request with its outcome by the size of the fleet.
+func (m *measurement) measureRequests(size int) error {
 	for cold, name := range []string{"a request, all warm", "a request, one cold"} {
-		gateway, sent, err := newGateway(size, cold)
+		gateway, recorder, err := newGateway(size, cold)
 		if err != nil {
 			return err
 		}
-		clock := time.Duration(0)
-		begun := time.Now()
-		for id := range uint32(customersMet + requestsMeasured) {
-			if id == customersMet {
-				begun = time.Now()
+		now := time.Duration(0)
+		started := time.Now()
+		for id := range uint32(warmUpCustomers + measuredRequests) {
+			if id == warmUpCustomers {
+				started = time.Now()
 			}
-			clock += 5 * time.Millisecond
-			sent.serve(gateway, clock, id+1, uint64(id%customersMet))
+			now += 5 * time.Millisecond
+			recorder.serveRequest(gateway, now, id+1, uint64(id%warmUpCustomers))
 		}
-		m.record(name, "µs", size, milliseconds(time.Since(begun))*1e3/requestsMeasured)
+		m.record(name, "µs", size, milliseconds(time.Since(started))*1e3/measuredRequests)
 	}
 	return nil
 }
 
-// tenants measures what the records of customers cost.
-func (m *measurement) tenants(size int) error {
-	before := heap()
-	gateway, sent, err := newGateway(100, 0)
+// measureTenants measures what the records of customers cost.
+func (m *measurement) measureTenants(size int) error {
+	before := heapInUse()
+	gateway, recorder, err := newGateway(100, 0)
 	if err != nil {
 		return err
 	}
-	clock, longest := time.Duration(0), time.Duration(0)
+	now, longest := time.Duration(0), time.Duration(0)
 	for id := range uint32(size) {
-		clock += time.Millisecond
-		begun := time.Now()
-		sent.serve(gateway, clock, id+1, uint64(id))
-		longest = max(longest, time.Since(begun))
+		now += time.Millisecond
+		started := time.Now()
+		recorder.serveRequest(gateway, now, id+1, uint64(id))
+		longest = max(longest, time.Since(started))
 	}
-	m.record("memory for tenants", "MB", size, float64(heap()-before)/1e6)
+	m.record("memory for tenants", "MB", size, float64(heapInUse()-before)/1e6)
 	m.record("longest hold by a request", "ms", size, milliseconds(longest))
 	runtime.KeepAlive(gateway)
 	return nil
@@ -206,14 +206,14 @@
 
 // newGateway makes a gateway of the target's tier before so many backends, the
 // first of which are cold for the whole measurement.
-func newGateway(size, cold int) (*choice.Gateway, *lastSend, error) {
-	cfg, err := controlConfig(TargetIngresses, 0)
+func newGateway(size, cold int) (*choice.Gateway, *attemptRecorder, error) {
+	config, err := controlPlaneConfig(TargetIngresses, 0)
 	if err != nil {
 		return nil, nil, err
 	}
-	cfg.Choice.WarmUpPeriod = time.Hour
-	sent := &lastSend{}
-	gateway, err := choice.New(cfg.Choice, 1, 0, sent)
+	config.Choice.WarmUpPeriod = time.Hour
+	recorder := &attemptRecorder{}
+	gateway, err := choice.New(config.Choice, 1, 0, recorder)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -222,47 +222,47 @@
 		backends[i] = choice.Backend{ID: uint32(i + 1), Zone: i % len(zones), Weight: 1, StartKnown: i < cold}
 	}
 	gateway.UpdateBackends(0, choice.Cached, backends)
-	return gateway, sent, nil
+	return gateway, recorder, nil
 }
 
-// lastSend is the gateway's actions: it keeps the last attempt alone.
-type lastSend struct{ id, backend uint32 }
+// attemptRecorder is the gateway's actions: it keeps the last attempt alone.
+type attemptRecorder struct{ id, backend uint32 }
 
-// serve tells the gateway of a request and of its answer, if it was sent on.
-func (l *lastSend) serve(gateway *choice.Gateway, now time.Duration, id uint32, customer uint64) {
+// serveRequest tells the gateway of a request and of its answer, if it was sent on.
+func (a *attemptRecorder) serveRequest(gateway *choice.Gateway, now time.Duration, id uint32, customer uint64) {
 	const service = 2 * time.Millisecond
 	gateway.Request(now, choice.Request{ID: id, Customer: customer, TimeLeft: 4 * time.Second, Units: 1, SetSize: 3})
-	if l.id == id {
-		gateway.Outcome(now+service, choice.Outcome{ID: id, Backend: l.backend, Elapsed: service, Answered: true, Metered: true, Used: 0.5})
+	if a.id == id {
+		gateway.Outcome(now+service, choice.Outcome{ID: id, Backend: a.backend, Elapsed: service, Answered: true, Metered: true, Used: 0.5})
 	}
 }
 
 // Send implements choice.Actions, as do the methods below.
-func (l *lastSend) Send(id, backend uint32, _ time.Duration) { l.id, l.backend = id, backend }
+func (a *attemptRecorder) Send(id, backend uint32, _ time.Duration) { a.id, a.backend = id, backend }
 
 // Refuse does nothing.
-func (l *lastSend) Refuse(uint32, time.Duration, choice.Reason) {}
+func (a *attemptRecorder) Refuse(uint32, time.Duration, choice.Reason) {}
 
 // Fail does nothing.
-func (l *lastSend) Fail(uint32, choice.Reason) {}
+func (a *attemptRecorder) Fail(uint32, choice.Reason) {}
 
 // Cancel does nothing.
-func (l *lastSend) Cancel(uint32, int) {}
+func (a *attemptRecorder) Cancel(uint32, int) {}
 
 // Probe does nothing.
-func (l *lastSend) Probe(uint32) {}
+func (a *attemptRecorder) Probe(uint32) {}
 
 // SetTimer does nothing.
-func (l *lastSend) SetTimer(time.Duration, uint64) {}
+func (a *attemptRecorder) SetTimer(time.Duration, uint64) {}
 
-// controlConfig is the configuration of an ingress of the target's deployment.
-func controlConfig(ingresses, self int) (ingress.Config, error) {
-	return ingress.ParseConfig(fmt.Appendf(nil, `{"name":"i%d","seed":"%x","settings":%s}`, self, self+1, settings(ingresses, self)))
+// controlPlaneConfig is the configuration of an ingress of the target's deployment.
+func controlPlaneConfig(ingresses, self int) (ingress.Config, error) {
+	return ingress.ParseConfig(fmt.Appendf(nil, `{"name":"i%d","seed":"%x","settings":%s}`, self, self+1, settingsJSON(ingresses, self)))
 }
 
-// heap is what is in use after a collection, and another one for what the first
+// heapInUse is what is in use after a collection, and another one for what the first
 // only took out of pools.
-func heap() int64 {
+func heapInUse() int64 {
 	runtime.GC()
 	runtime.GC()
 	var stats runtime.MemStats
@@ -270,11 +270,11 @@
 	return int64(stats.HeapAlloc + stats.StackInuse)
 }
 
-// configuration measures how long a running ingress takes to read its
-// configuration again, rests included. The list of backends in it is passed over.
-func (m *measurement) configuration(size int) error {
+// measureConfigReload measures how long a running ingress takes to read its
+// measureConfigReload again, rests included. The list of backends in it is passed over.
+func (m *measurement) measureConfigReload(size int) error {
 	fleet := newFleet(size, 1)
-	text, err := configText(processSpec{name: "i0", ingresses: TargetIngresses, discovery: "127.0.0.1:1", known: &fleet}, "127.0.0.1:2")
+	text, err := configJSON(ingressSpec{name: "i0", ingresses: TargetIngresses, discovery: "127.0.0.1:1", knownList: &fleet}, "127.0.0.1:2")
 	if err != nil {
 		return err
 	}
@@ -287,13 +287,13 @@
 	if _, err := file.Write(text); err != nil {
 		return err
 	}
-	begun := time.Now()
+	started := time.Now()
 	_, err = ingress.ReloadConfig(func(name string) string {
 		if name == "NODE_CONFIG" {
 			return file.Name()
 		}
 		return ""
 	})
-	m.record("a configuration read again", "ms", size, milliseconds(time.Since(begun)))
+	m.record("a configuration read again", "ms", size, milliseconds(time.Since(started)))
 	return err
 }
--- a/internal/scale/slopes_process.go
+++ b/internal/scale/slopes_process.go
@@ -6,30 +6,30 @@
 	"cedarseam/internal/membership"
 )
 
-// start measures how long an ingress process takes to be ready, by the size of
+// measureStart measures how long an ingress process takes to be ready, by the size of
 // the list that its configuration and discovery tell.
-func (m *measurement) start(size int) error {
+func (m *measurement) measureStart(size int) error {
 	fleet := newFleet(size, 1)
-	discovery, err := startDiscovery(fleet, 0)
+	discovery, err := startDiscoveryStub(fleet, 0)
 	if err != nil {
 		return err
 	}
 	defer discovery.close()
-	spec := processSpec{program: m.options.Ingress, name: "i0", ingresses: TargetIngresses,
-		discovery: discovery.agentAddress(0), sockets: 1024}
+	spec := ingressSpec{program: m.options.Ingress, name: "i0", ingresses: TargetIngresses,
+		discovery: discovery.agentAddress(0), maxSockets: 1024}
 	starts := []struct {
 		name  string
 		known *membership.List
 	}{{"start to ready, list known", &fleet}, {"start to ready, no list", nil}}
 	for _, start := range starts {
-		spec.known = start.known
-		p, err := startProcess(m.ctx, spec)
+		spec.knownList = start.known
+		process, err := startIngress(m.ctx, spec)
 		if err != nil {
 			return err
 		}
-		m.record(start.name, "ms", size, milliseconds(p.ready))
-		resident, err := residentMemory(p.command.Process.Pid)
-		p.stop()
+		m.record(start.name, "ms", size, milliseconds(process.readyAfter))
+		resident, err := residentMemory(process.command.Process.Pid)
+		process.stop()
 		if err != nil {
 			return err
 		}
@@ -38,35 +38,35 @@
 	return nil
 }
 
-// connections measures the memory that idle connections of clients take.
-func (m *measurement) connections(size int) error {
+// measureConnections measures the memory that idle measureConnections of clients take.
+func (m *measurement) measureConnections(size int) error {
 	fleet := newFleet(100, 1)
-	discovery, err := startDiscovery(fleet, 0)
+	discovery, err := startDiscoveryStub(fleet, 0)
 	if err != nil {
 		return err
 	}
 	defer discovery.close()
-	p, err := startProcess(m.ctx, processSpec{program: m.options.Ingress, name: "i0", ingresses: TargetIngresses,
-		discovery: discovery.agentAddress(0), sockets: size * socketsPerConnection})
+	process, err := startIngress(m.ctx, ingressSpec{program: m.options.Ingress, name: "i0", ingresses: TargetIngresses,
+		discovery: discovery.agentAddress(0), maxSockets: size * socketsPerConnection})
 	if err != nil {
 		return err
 	}
-	defer p.stop()
-	before, err := residentMemory(p.command.Process.Pid)
+	defer process.stop()
+	before, err := residentMemory(process.command.Process.Pid)
 	if err != nil {
 		return err
 	}
 	for range size {
-		connection, err := net.Dial("tcp", p.listen)
+		connection, err := net.Dial("tcp", process.address)
 		if err != nil {
 			return err
 		}
 		defer connection.Close()
-		if _, err := ping(connection, readyWithin); err != nil {
+		if _, err := ping(connection, readyTimeout); err != nil {
 			return err
 		}
 	}
-	after, err := residentMemory(p.command.Process.Pid)
+	after, err := residentMemory(process.command.Process.Pid)
 	if err != nil {
 		return err
 	}
--- a/internal/scale/target.go
+++ b/internal/scale/target.go
@@ -17,7 +17,7 @@
 // Budget bounds one figure.
 type Budget struct {
 	Name string  `json:"name"`
-	Most float64 `json:"most"`
+	Max  float64 `json:"most"`
 	Unit string  `json:"unit"`
 }
 
@@ -39,10 +39,10 @@
 	Budget *Budget `json:"budget,omitempty"`
 }
 
-// Over tells whether the figure breaks its budget.
-func (f Figure) Over() bool { return f.Budget != nil && f.Value > f.Budget.Most }
+// OverBudget tells whether the figure breaks its budget.
+func (f Figure) OverBudget() bool { return f.Budget != nil && f.Value > f.Budget.Max }
 
-// anyOver tells whether one of the figures breaks its budget.
-func anyOver(figures []Figure) bool { return slices.ContainsFunc(figures, Figure.Over) }
+// anyOverBudget tells whether one of the figures breaks its budget.
+func anyOverBudget(figures []Figure) bool { return slices.ContainsFunc(figures, Figure.OverBudget) }
 
 func milliseconds(d time.Duration) float64 { return d.Seconds() * 1e3 }
--- a/internal/scale/timeline.go
+++ b/internal/scale/timeline.go
@@ -12,21 +12,21 @@
 // the next step they are gone and new ones are there, under new ids.
 func (r *run) release() error {
 	count := int(r.options.Replaced * float64(r.options.Backends))
-	return r.replace(0, count, releaseSteps, r.options.Release)
+	return r.replaceBackends(0, count, releaseSteps, r.options.Release)
 }
 
-// replace replaces so many backends from a number on.
-func (r *run) replace(first, count, steps int, length time.Duration) error {
+// replaceBackends replaces so many backends from a number on.
+func (r *run) replaceBackends(first, count, steps int, length time.Duration) error {
 	var draining []int
 	for step := range steps + 1 {
 		var changes []*membership.Member
 		for _, number := range draining {
-			changes = append(changes, r.renew(number)...)
+			changes = append(changes, r.replaceBackend(number)...)
 		}
 		draining = nil
 		for number := first + step*count/steps; step < steps && number < first+(step+1)*count/steps; number++ {
 			draining = append(draining, number)
-			changes = append(changes, r.become(number, membership.PhaseDraining, r.fleet.Members[number].UpSince))
+			changes = append(changes, r.setPhase(number, membership.PhaseDraining, r.fleet.Members[number].UpSince))
 		}
 		if len(changes) > 0 {
 			r.publish(changes...)
@@ -38,44 +38,44 @@
 	return nil
 }
 
-// renew replaces one backend by another at the same address and returns both lines.
-func (r *run) renew(number int) []*membership.Member {
-	old := r.fleet.Members[number]
-	next := newMember(number, generationOf(old)+1, r.backends.port, time.Now().UnixMilli())
+// replaceBackend replaces one backend by another at the same address and returns both lines.
+func (r *run) replaceBackend(number int) []*membership.Member {
+	previous := r.fleet.Members[number]
+	next := newMember(number, generationOf(previous)+1, r.backends.port, time.Now().UnixMilli())
 	r.fleet.Members[number] = next
-	return []*membership.Member{withPhase(old, membership.PhaseDeleted, old.UpSince), next}
+	return []*membership.Member{withPhase(previous, membership.PhaseDeleted, previous.UpSince), next}
 }
 
-// become gives a backend a phase and a start, and returns its new line.
-func (r *run) become(number int, phase string, upSince int64) *membership.Member {
+// setPhase gives a backend a phase and a start, and returns its new line.
+func (r *run) setPhase(number int, phase string, upSince int64) *membership.Member {
 	changed := withPhase(r.fleet.Members[number], phase, upSince)
 	r.fleet.Members[number] = changed
 	return changed
 }
 
 // generationOf tells how often a backend was replaced, modulo what an id holds.
-func generationOf(m *membership.Member) int {
-	generation, err := strconv.ParseUint(m.ID[idNumberEnd:], 16, 8)
+func generationOf(member *membership.Member) int {
+	generation, err := strconv.ParseUint(member.ID[generationOffset:], 16, 8)
 	if err != nil {
 		panic(err) // newMember has written it
 	}
 	return int(generation)
 }
 
-// loseZone takes all backends of one zone away at once.
-func (r *run) loseZone() error { return r.changeZone(membership.PhaseDeleted, 0) }
+// failZone takes all backends of one zone away at once.
+func (r *run) failZone() error { return r.setZonePhase(membership.PhaseDeleted, 0) }
 
-// returnZone starts the backends of that zone again, all at once.
-func (r *run) returnZone() error {
-	return r.changeZone(membership.PhaseServing, time.Now().UnixMilli())
+// restoreZone starts the backends of that zone again, all at once.
+func (r *run) restoreZone() error {
+	return r.setZonePhase(membership.PhaseServing, time.Now().UnixMilli())
 }
 
-// changeZone gives all backends of one zone a phase and a start.
-func (r *run) changeZone(phase string, upSince int64) error {
+// setZonePhase gives all backends of one zone a phase and a start.
+func (r *run) setZonePhase(phase string, upSince int64) error {
 	var addresses []string
 	var changes []*membership.Member
-	for _, number := range inZone(r.fleet, zones[1]) {
-		changed := r.become(number, phase, upSince)
+	for _, number := range numbersInZone(r.fleet, zones[1]) {
+		changed := r.setPhase(number, phase, upSince)
 		changes = append(changes, changed)
 		addresses = append(addresses, changed.HostPort)
 	}
@@ -84,22 +84,22 @@
 	return r.sleep(r.options.Zone / 2)
 }
 
-// half are the agents of every other ingress.
-func (r *run) half() (agents []int) {
+// evenAgents are the agents of every other ingress.
+func (r *run) evenAgents() (agents []int) {
 	for agent := 0; agent < r.options.Ingresses; agent += 2 {
 		agents = append(agents, agent)
 	}
 	return agents
 }
 
-// cutOff lets discovery be silent towards half of the ingresses, while a
+// partitionHalf lets discovery be silent towards half of the ingresses, while a
 // replacement goes on that the others hear of.
-func (r *run) cutOff() error {
-	r.discovery.silence(true, r.half()...)
+func (r *run) partitionHalf() error {
+	r.discovery.setPartitioned(true, r.evenAgents()...)
 	count := int(r.options.Replaced * float64(r.options.Backends) / 2)
 	first := r.options.Backends - count
-	err := r.replace(first, count, releaseStepsInCut, r.options.Cut)
-	for revision := range r.published {
+	err := r.replaceBackends(first, count, partitionReleaseSteps, r.options.Cut)
+	for revision := range r.publishedAt {
 		r.excluded[revision] = true
 	}
 	return err
@@ -108,22 +108,22 @@
 // reconnect lets discovery speak to all again, with one change more.
 func (r *run) reconnect() error {
 	first := r.fleet.Members[0]
-	r.discovery.silence(false, r.half()...)
-	r.publish(r.become(0, first.Phase, first.UpSince))
+	r.discovery.setPartitioned(false, r.evenAgents()...)
+	r.publish(r.setPhase(0, first.Phase, first.UpSince))
 	return r.sleep(r.options.Quiet)
 }
 
-// sumUp holds the figures against their budgets.
-func (r *run) sumUp() {
+// computeFigures holds the figures against their budgets.
+func (r *run) computeFigures() {
 	result := r.result
 	var load LoadResult
 	for _, p := range result.Phases {
 		load = load.plus(p.Load)
 	}
-	load = load.withLatencies(r.latencies)
-	for _, p := range r.real {
-		if resident, err := residentMemory(p.command.Process.Pid); err == nil {
-			result.Resident = append(result.Resident, float64(resident)/1e6)
+	load = load.withQuantiles(r.latencies)
+	for _, process := range r.realIngresses {
+		if resident, err := residentMemory(process.command.Process.Pid); err == nil {
+			result.ResidentMB = append(result.ResidentMB, float64(resident)/1e6)
 		}
 	}
 	add := func(name string, value float64, unit string, budget *Budget) {
@@ -133,21 +133,21 @@
 		if p.Name == phaseStart {
 			continue
 		}
-		add("processor, "+p.Name, p.Processor, BudgetCPU.Unit, &BudgetCPU)
-		add("bytes, "+p.Name, p.Bytes, BudgetBytes.Unit, &BudgetBytes)
-		if len(r.real) > 0 {
+		add("processor, "+p.Name, p.CPUPercent, BudgetCPU.Unit, &BudgetCPU)
+		add("bytes, "+p.Name, p.KBPerSecond, BudgetBytes.Unit, &BudgetBytes)
+		if len(r.realIngresses) > 0 {
 			add("latency p99, "+p.Name, p.Load.P99, BudgetLatency.Unit, &BudgetLatency)
 		}
-		if p.Last > 0 {
-			add("last ingress to hold a change, "+p.Name, p.Last, BudgetConvergence.Unit, &BudgetConvergence)
+		if p.LastDelay > 0 {
+			add("last ingress to hold a change, "+p.Name, p.LastDelay, BudgetConvergence.Unit, &BudgetConvergence)
 		}
 	}
-	add("memory of an ingress without clients", r.resident, BudgetMemory.Unit, &BudgetMemory)
-	add("of it in use", r.heap, BudgetMemory.Unit, nil)
-	if len(r.real) == 0 {
+	add("memory of an ingress without clients", r.residentMB, BudgetMemory.Unit, &BudgetMemory)
+	add("of it in use", r.heapMB, BudgetMemory.Unit, nil)
+	if len(r.realIngresses) == 0 {
 		return
 	}
-	add("memory of a real ingress, the most", slices.Max(append(result.Resident, 0)), BudgetMemory.Unit, &BudgetMemory)
+	add("memory of a real ingress, the most", slices.Max(append(result.ResidentMB, 0)), BudgetMemory.Unit, &BudgetMemory)
 	add("latency of the whole run, p50", load.P50, "ms", nil)
 	add("latency of the whole run, p99", load.P99, BudgetLatency.Unit, &BudgetLatency)
 	add("latency of the whole run, worst", load.Worst, "ms", nil)
