--- a/cmd/scale/main.go
+++ b/cmd/scale/main.go
@@ -1,4 +1,4 @@
-// Command scale measures what an ingress costs at sizes beyond today's fleets.
+// Command scale measures the costs of an ingress at deployment sizes beyond today's.
 package main
 
 import (
@@ -23,14 +23,14 @@
 // The exit codes.
 const (
 	exitOK         = 0
-	exitOverBudget = 1
-	exitError      = 2 // bad flags, or what the run needs is missing
+	exitOverBudget = 1 // a figure exceeds its budget
+	exitError      = 2 // invalid flags, or the measurement failed
 )
 
-// errOverBudget tells that a figure breaks its budget.
-var errOverBudget = errors.New("a figure is over its budget")
+// errOverBudget is returned by commands that measured a figure over its budget.
+var errOverBudget = errors.New("at least one figure exceeds its budget")
 
-// commands are the flags of all commands.
+// commands defines the commands and their flags.
 type commands struct {
 	Slopes slopesCommand `cmd:"" help:"Measure each cost at several sizes and fit its growth."`
 	Run    runCommand    `cmd:"" help:"Play one timeline of troubles against many ingresses."`
@@ -50,12 +50,12 @@
 	return nil
 }
 
-// output is where results go.
+// output holds the flags for results.
 type output struct {
 	JSON string `help:"File for the results as JSON." type:"path"`
 }
 
-// write prints the table and writes the file, if one is asked for.
+// write prints the table, and writes the results to the JSON file if one is set.
 func (o output) write(w io.Writer, table string, results any) error {
 	fmt.Fprint(w, table)
 	if o.JSON == "" {
@@ -78,29 +78,29 @@
 }
 
 const (
-	minSizes   = 2 // a slope needs
+	minSizes   = 2 // a fit needs two points
 	maxSize    = 100_000
 	maxRepeats = 100
-	minSize    = 80 // room for two racks
+	minSize    = 80 // two racks
 )
 
-// Validate tells what of the flags can't be used.
+// Validate returns an error if a flag has an invalid value. It is called by kong.
 func (c *slopesCommand) Validate() error {
 	for _, sizes := range [][]int{c.Backends, c.Tenants, c.Connections} {
 		if len(sizes) < minSizes {
-			return fmt.Errorf("%v: a slope needs %d sizes at least", sizes, minSizes)
+			return fmt.Errorf("%v: a slope needs at least %d sizes", sizes, minSizes)
 		}
 		if smallest, largest := slices.Min(sizes), slices.Max(sizes); smallest < minSize || largest > maxSize {
-			return fmt.Errorf("%v: sizes are from %d to %d", sizes, minSize, maxSize)
+			return fmt.Errorf("%v: sizes must be from %d to %d", sizes, minSize, maxSize)
 		}
 	}
 	if c.Repeats < 1 || c.Repeats > maxRepeats {
-		return fmt.Errorf("--repeats is from 1 to %d", maxRepeats)
+		return fmt.Errorf("--repeats must be from 1 to %d", maxRepeats)
 	}
 	return nil
 }
 
-// Run measures the slopes.
+// Run measures the slopes and writes them.
 func (c *slopesCommand) Run(ctx context.Context, stdout io.Writer) error {
 	slopes, err := scale.MeasureSlopes(ctx, scale.SlopeOptions{
 		Backends: c.Backends, Tenants: c.Tenants, Connections: c.Connections, Repeats: c.Repeats, Ingress: c.Ingress})
@@ -137,27 +137,28 @@
 		Ingress: c.Ingress, Quiet: c.Quiet, Release: c.Release, Replaced: c.Replaced, Zone: c.Zone, Cut: c.Cut}
 }
 
-// Validate tells what of the flags can't be used.
+// Validate returns an error if a flag has an invalid value. It is called by kong.
 func (c *runCommand) Validate() error {
 	switch {
 	case c.Ingresses < 2 || c.Ingresses > maxIngresses:
-		return fmt.Errorf("--ingresses is from 2 to %d", maxIngresses)
+		return fmt.Errorf("--ingresses must be from 2 to %d", maxIngresses)
 	case c.Backends < minSize || c.Backends > maxSize:
-		return fmt.Errorf("--backends is from %d to %d", minSize, maxSize)
+		return fmt.Errorf("--backends must be from %d to %d", minSize, maxSize)
 	case !(c.Rate > 0) || c.Rate > maxRate:
-		return fmt.Errorf("--rate is above 0 and at most %d", maxRate)
+		return fmt.Errorf("--rate must be above 0 and at most %d", maxRate)
 	case !(c.Replaced > 0) || c.Replaced > 1:
-		return errors.New("--replaced is above 0 and at most 1")
+		return errors.New("--replaced must be above 0 and at most 1")
 	}
 	for _, duration := range []time.Duration{c.Quiet, c.Release, c.Zone, c.Cut} {
 		if duration < 0 || duration > maxPhaseDuration {
-			return fmt.Errorf("a part of the timeline lasts from 0 to %v", maxPhaseDuration)
+			return fmt.Errorf("--quiet, --release, --zone and --cut must be from 0 to %v", maxPhaseDuration)
 		}
 	}
 	return nil
 }
 
-// Run plays the timeline.
+// Run runs the timeline. It returns errOverBudget if the budgets are enforced and a figure
+// exceeds its budget.
 func (c *runCommand) Run(ctx context.Context, stdout io.Writer) error {
 	options := c.options()
 	var err error
@@ -183,15 +184,15 @@
 	output
 }
 
-// Validate tells what of the flags can't be used.
+// Validate returns an error if a flag has an invalid value. It is called by kong.
 func (c *listCommand) Validate() error {
 	if c.Repeats < 1 || c.Repeats > maxRepeats {
-		return fmt.Errorf("--repeats is from 1 to %d", maxRepeats)
+		return fmt.Errorf("--repeats must be from 1 to %d", maxRepeats)
 	}
 	return nil
 }
 
-// Run measures the list.
+// Run measures the list. It returns errOverBudget if a figure exceeds its budget.
 func (c *listCommand) Run(stdout io.Writer) error {
 	cost, err := scale.MeasureList(c.File, c.Repeats)
 	if err != nil {
@@ -208,7 +209,7 @@
 
 type hollowCommand struct{}
 
-// Run runs the ingresses that the standard input specifies.
+// Run runs the control-plane-only ingresses that the standard input specifies.
 func (hollowCommand) Run(ctx context.Context, stdout io.Writer) error {
 	return scale.RunControlPlanes(ctx, os.Stdin, stdout)
 }
@@ -217,7 +218,7 @@
 	os.Exit(run(os.Args[1:], os.Stdout, os.Stderr))
 }
 
-// run carries a command out and returns the exit code.
+// run parses the arguments, runs the command and returns the exit code.
 func run(arguments []string, stdout, stderr io.Writer) (code int) {
 	var flags commands
 	parser, err := kong.New(&flags, kong.Name("scale"), kong.Writers(stdout, stderr),
@@ -228,7 +229,7 @@
 		fmt.Fprintln(stderr, "scale:", err)
 		return exitError
 	}
-	// The help ends the program inside of the parser.
+	// --help calls kong.Exit inside of the parser.
 	defer func() {
 		if status, ok := recover().(exitStatus); ok {
 			code = int(status)
@@ -258,5 +259,5 @@
 	return exitOK
 }
 
-// exitStatus is the status with which the parser ends the program.
+// exitStatus is the panic value that carries the status of kong.Exit to run.
 type exitStatus int
--- a/cmd/scale/main_test.go
+++ b/cmd/scale/main_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// execute runs a command and returns its exit code and what it printed.
+// execute runs a command and returns its exit code and its output.
 func execute(arguments ...string) (code int, stdout, stderr string) {
 	var out, err strings.Builder
 	code = run(arguments, &out, &err)
@@ -41,7 +41,7 @@
 	} {
 		code, stdout, stderr := execute(arguments...)
 		if code != exitError || stdout != "" || !strings.HasPrefix(stderr, "scale: ") || strings.Count(stderr, "\n") != 1 {
-			t.Errorf("%q gives code %d, output %q, errors %q; want one line and code %d", arguments, code, stdout, stderr, exitError)
+			t.Errorf("%q gives code %d, output %q, errors %q; want one line of errors and code %d", arguments, code, stdout, stderr, exitError)
 		}
 	}
 }
--- a/internal/scale/backends.go
+++ b/internal/scale/backends.go
@@ -8,21 +8,23 @@
 	"github.com/tidwall/redcon"
 )
 
-// backendStub is a stand-in for all backendStub: one listener serves the address of
-// each. A request is answered at once, so that its time is what the ingress adds.
+// backendStub simulates all backends: one listener serves the addresses of all of
+// them. It replies to each request immediately, so that the latency that a client
+// sees is what the ingress adds.
 type backendStub struct {
 	listener net.Listener
 	port     int
 
 	mu    sync.Mutex
-	down  map[string]bool // addresses whose process is gone
+	down  map[string]bool // addresses of stopped backends
 	conns map[net.Conn]struct{}
 }
 
-// quotaUseReport is what every answer tells of its customer's use, in percent and 1 more.
+// quotaUseReport is the report field of every reply: the customer's use of its quota
+// in percent.
 const quotaUseReport = "used=31"
 
-// startBackendStub serves all addresses of backends at one port.
+// startBackendStub starts serving the addresses of all backends on one port.
 func startBackendStub() (*backendStub, error) {
 	listener, port, err := listenOnLoopback(0)
 	if err != nil {
@@ -45,7 +47,8 @@
 	}
 }
 
-// add takes a connection in, or resets it if its backend is gone.
+// add registers a connection and returns true. It resets the connection and returns
+// false if the backend at its address is stopped.
 func (b *backendStub) add(connection net.Conn) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -57,7 +60,7 @@
 	return true
 }
 
-// serve answers each command until the connection ends.
+// serve replies to each command until the connection ends.
 func (b *backendStub) serve(connection net.Conn) {
 	defer func() {
 		connection.Close()
@@ -80,8 +83,8 @@
 	}
 }
 
-// setDown ends the processes at addresses, or starts them again. The end of a
-// process resets its connections.
+// setDown stops the backends at the given addresses, or starts them again. Stopping
+// a backend resets its connections.
 func (b *backendStub) setDown(down bool, addresses ...string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -108,7 +111,7 @@
 	}
 }
 
-// reset ends a connection as the death of its process does.
+// reset closes a connection with a TCP reset, as the death of a backend's process does.
 func reset(connection net.Conn) {
 	if tcp, ok := connection.(*net.TCPConn); ok {
 		tcp.SetLinger(0)
--- a/internal/scale/discovery.go
+++ b/internal/scale/discovery.go
@@ -13,38 +13,37 @@
 )
 
 const (
-	keepAliveInterval = 2 * time.Second // between the empty lines of a watch that has nothing to tell
-	maxHistory        = 1024            // changes that a watch can be resumed from
-	maxAgents         = 250 * 250       // addresses set aside for agents
-	shutdownTimeout   = 2 * time.Second // that open watches get to end
+	keepAliveInterval = 2 * time.Second // between the empty lines of an idle watch
+	maxHistory        = 1024            // most recent changes, from which a watch can be resumed
+	maxAgents         = 250 * 250       // addresses available to agents
+	shutdownTimeout   = 2 * time.Second // for open watches to end
 )
 
-// discoveryStub is a stand-in for the service that knows the backends, and for its
-// agents, one beside each ingress. All agents share a listener; the address that
-// an ingress calls tells whose agent it is.
+// discoveryStub simulates the discovery service and its agents, one per ingress. All
+// agents share one listener; the local address of a connection identifies the agent.
 type discoveryStub struct {
 	port   int
 	server *http.Server
 
 	mu            sync.Mutex
 	list          membership.List
-	indexByID     map[string]int    // of a member in the list, by id
-	history       []membership.List // the last changes, oldest first
-	snapshot      []byte            // the list as text; nil if it must be made anew
-	wake          chan struct{}     // closed when there is something new to tell
-	partitioned   map[int]bool      // agents that are cut off
-	snapshotsOnly bool              // each change is told as a whole list
+	indexByID     map[string]int    // positions in list.Members
+	history       []membership.List // the last maxHistory changes, oldest first
+	snapshot      []byte            // encoded list; nil after a change
+	wake          chan struct{}     // closed and replaced when waiting calls must check again
+	partitioned   map[int]bool      // agents that send nothing
+	snapshotsOnly bool              // each change is sent as the full list
 	traffic       traffic
 }
 
-// traffic counts what agents have sent.
+// traffic counts the bytes that agents have sent.
 type traffic struct {
 	started  time.Time
 	byAgent  map[int]int64
-	bySecond map[int]int64
+	bySecond map[int]int64 // all agents together, by whole seconds since started
 }
 
-// startDiscoveryStub serves a list. The port 0 takes a free one.
+// startDiscoveryStub starts serving a list. Port 0 selects a free port.
 func startDiscoveryStub(list membership.List, port int) (*discoveryStub, error) {
 	listener, port, err := listenOnLoopback(port)
 	if err != nil {
@@ -65,15 +64,15 @@
 	return d, nil
 }
 
-// agentKey is the key of an agent's number in a request's context.
+// agentKey is the context key of the number of the agent that a request addresses.
 type agentKey struct{}
 
-// agentAddress is the address of the agent of an ingress.
+// agentAddress returns the address of an ingress's agent.
 func (d *discoveryStub) agentAddress(ingress int) string {
 	return fmt.Sprintf("127.32.%d.%d:%d", ingress/250+1, ingress%250+1, d.port)
 }
 
-// agentNumber is the opposite of agentAddress.
+// agentNumber returns the number of the ingress whose agent has the given address.
 func agentNumber(address net.Addr) int {
 	tcp, ok := address.(*net.TCPAddr)
 	if !ok {
@@ -90,8 +89,8 @@
 	d.server.Shutdown(ctx)
 }
 
-// publish takes a change into the list and tells it to all agents that are not
-// cut off. It returns the change's revision.
+// publish applies a change to the list, wakes all watches and returns the revision
+// of the change.
 func (d *discoveryStub) publish(members ...*membership.Member) int64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -108,14 +107,14 @@
 	return d.list.Revision
 }
 
-// sendSnapshotsOnly makes every watch tell whole lists from now on.
+// sendSnapshotsOnly makes every watch send the full list instead of changes.
 func (d *discoveryStub) sendSnapshotsOnly() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.snapshotsOnly = true
 }
 
-// applyUpdate sets the line of one member.
+// applyUpdate adds, replaces or removes one member of the list.
 func (d *discoveryStub) applyUpdate(member *membership.Member) {
 	index, known := d.indexByID[member.ID]
 	switch {
@@ -134,15 +133,15 @@
 	}
 }
 
-// currentRevision is that of the last change.
+// currentRevision returns the revision of the last change.
 func (d *discoveryStub) currentRevision() int64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.list.Revision
 }
 
-// setPartitioned cuts agents off, or brings them back: what was changed in between is
-// then told at once.
+// setPartitioned simulates a network partition of the given agents, or ends it. A
+// watch whose agent is reconnected sends the missed changes at once.
 func (d *discoveryStub) setPartitioned(partitioned bool, agents ...int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -156,13 +155,13 @@
 	d.wakeWaiters()
 }
 
-// wakeWaiters lets every call look again. The caller holds the lock.
+// wakeWaiters wakes every waiting call. The caller holds the lock.
 func (d *discoveryStub) wakeWaiters() {
 	close(d.wake)
 	d.wake = make(chan struct{})
 }
 
-// serveTargets serves the whole list, or a watch.
+// serveTargets serves the full list, or a watch if the request has the parameter stream.
 func (d *discoveryStub) serveTargets(w http.ResponseWriter, r *http.Request) {
 	agent, _ := r.Context().Value(agentKey{}).(int)
 	if r.URL.Query().Get("stream") == "" {
@@ -179,7 +178,8 @@
 	d.serveWatch(w, r.Context(), agent, revision)
 }
 
-// awaitSnapshot returns the whole list as soon as the agent is not cut off, or nil if the call ends before.
+// awaitSnapshot returns the encoded list as soon as the agent is not partitioned, or nil
+// if the request is cancelled first.
 func (d *discoveryStub) awaitSnapshot(ctx context.Context, agent int) []byte {
 	for {
 		d.mu.Lock()
@@ -197,7 +197,7 @@
 	}
 }
 
-// encodedSnapshot is the list as text. The caller holds the lock.
+// encodedSnapshot returns the encoded list. The caller holds the lock.
 func (d *discoveryStub) encodedSnapshot() []byte {
 	if d.snapshot == nil {
 		d.snapshot = encodeList(d.list)
@@ -205,7 +205,7 @@
 	return d.snapshot
 }
 
-// serveWatch tells what changes after a revision until the connection ends.
+// serveWatch sends the changes after a revision until the connection ends.
 func (d *discoveryStub) serveWatch(w http.ResponseWriter, ctx context.Context, agent int, revision int64) {
 	control := http.NewResponseController(w)
 	writeLine := func(text []byte) bool {
@@ -214,7 +214,7 @@
 		}
 		return control.Flush() == nil
 	}
-	keepAliveTimer := time.NewTimer(0) // the first empty line comes at once
+	keepAliveTimer := time.NewTimer(0) // the first empty line is sent at once
 	defer keepAliveTimer.Stop()
 	for {
 		text, next, partitioned, wake := d.nextUpdate(agent, revision)
@@ -239,7 +239,10 @@
 	}
 }
 
-// nextUpdate is what an agent has to tell after a revision, if anything, and what to wait for otherwise.
+// nextUpdate returns the encoded update from a revision to the current one, and the
+// revision that it leads to. If there is nothing to send, text is nil and wake is
+// closed when the caller must check again. The update is the full list if the
+// revision is unknown or older than the history.
 func (d *discoveryStub) nextUpdate(agent int, revision int64) (text []byte, next int64, partitioned bool, wake <-chan struct{}) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -256,7 +259,8 @@
 	return text, d.list.Revision, false, d.wake
 }
 
-// mergeChanges makes one change of several: the last line of each member, in the order of these lines.
+// mergeChanges combines successive changes into one that holds the last update of each
+// member, in the order of these updates.
 func mergeChanges(changes []membership.List) membership.List {
 	merged := membership.List{Revision: changes[len(changes)-1].Revision}
 	if len(changes) == 1 {
@@ -279,7 +283,7 @@
 	return merged
 }
 
-// recordSent counts bytes that an agent has written.
+// recordSent counts bytes that an agent has sent.
 func (d *discoveryStub) recordSent(agent, bytes int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -287,15 +291,15 @@
 	d.traffic.bySecond[int(time.Since(d.traffic.started)/time.Second)] += int64(bytes)
 }
 
-// resetTraffic forgets what was sent so far.
+// resetTraffic restarts the traffic counts at zero.
 func (d *discoveryStub) resetTraffic() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.traffic = traffic{started: time.Now(), byAgent: map[int]int64{}, bySecond: map[int]int64{}}
 }
 
-// trafficTotals tells how many bytes the agents have sent in all, how many the one
-// that sent most has, and how many all have in the worst second.
+// trafficTotals returns the bytes sent by all agents, the most sent by one agent, and
+// the most sent by all agents in one second.
 func (d *discoveryStub) trafficTotals() (total, maxPerAgent, maxPerSecond int64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -309,7 +313,7 @@
 	return total, maxPerAgent, maxPerSecond
 }
 
-// countingListener counts what is written to its connections.
+// countingListener counts the bytes written to its connections by agent.
 type countingListener struct {
 	net.Listener
 	discovery *discoveryStub
@@ -324,13 +328,14 @@
 	return &countingConn{connection, l.discovery, agentNumber(connection.LocalAddr())}, nil
 }
 
+// countingConn is a connection accepted by a countingListener.
 type countingConn struct {
 	net.Conn
 	discovery *discoveryStub
 	agent     int
 }
 
-// Write implements net.Conn.
+// Write implements net.Conn. The bytes are counted after the write.
 func (c *countingConn) Write(text []byte) (int, error) {
 	n, err := c.Conn.Write(text)
 	c.discovery.recordSent(c.agent, n)
--- a/internal/scale/discovery_test.go
+++ b/internal/scale/discovery_test.go
@@ -11,15 +11,16 @@
 	"cedarseam/internal/membership"
 )
 
-// testTimeout bounds every wait; no test passes by waiting.
+// testTimeout bounds every wait in the tests; no test passes by running into it.
 const testTimeout = 30 * time.Second
 
-// watchReader reads the lines of one watch.
+// watchReader receives the lines of one watch.
 type watchReader struct {
 	t     *testing.T
 	lines chan string
 }
 
+// openWatch starts a watch at an agent from a revision on.
 func (d *discoveryStub) openWatch(t *testing.T, agent int, revision int64) *watchReader {
 	t.Helper()
 	response, err := http.Get(fmt.Sprintf("http://%s/api/targets?stream=1&index=%d", d.agentAddress(agent), revision))
@@ -39,14 +40,14 @@
 	return w
 }
 
-// next returns the next line that is not empty.
+// next returns the list on the next line that is not empty.
 func (w *watchReader) next() (list membership.List) {
 	w.t.Helper()
 	for {
 		select {
 		case line, open := <-w.lines:
 			if !open {
-				w.t.Fatal("the watch has ended")
+				w.t.Fatal("the watch ended")
 			}
 			if line == "" {
 				continue
@@ -56,7 +57,7 @@
 			}
 			return list
 		case <-time.After(testTimeout):
-			w.t.Fatal("no line comes")
+			w.t.Fatal("no line received before the timeout")
 		}
 	}
 }
@@ -79,16 +80,16 @@
 	two := withPhase(fleet.Members[2], membership.PhaseDeleted, 0)
 	d.publish(one)
 	if l := w.next(); l.Revision != 2 || l.Complete || len(l.Members) != 1 || *l.Members[0] != *one {
-		t.Errorf("the first change is told as %+v", l)
+		t.Errorf("the first change is sent as %+v", l)
 	}
 	d.publish(two)
 	d.publish(two)
 	late := d.openWatch(t, 4, 1).next()
 	if late.Revision != 4 || late.Complete || len(late.Members) != 2 || *late.Members[0] != *one || *late.Members[1] != *two {
-		t.Errorf("a watch from before all of it is told %+v, want each change once", late)
+		t.Errorf("a watch from the initial revision receives %+v, want the last update of each changed member", late)
 	}
 	if future := d.openWatch(t, 5, 99).next(); !future.Complete || len(future.Members) != 9 {
-		t.Errorf("a watch from a revision that never was is told %d members, whole %t; want the whole list", len(future.Members), future.Complete)
+		t.Errorf("a watch from an unknown revision receives %d members, complete %t; want the full list", len(future.Members), future.Complete)
 	}
 }
 
@@ -99,7 +100,7 @@
 		d.publish(changed)
 	}
 	if l := d.openWatch(t, 0, 1).next(); !l.Complete || l.Revision != maxHistory+2 || len(l.Members) != 10 {
-		t.Errorf("told revision %d with %d members, whole %t", l.Revision, len(l.Members), l.Complete)
+		t.Errorf("received revision %d with %d members, complete %t; want the full list", l.Revision, len(l.Members), l.Complete)
 	}
 }
 
@@ -109,16 +110,16 @@
 	d.setPartitioned(true, 0)
 	d.publish(fleet.Members[5])
 	if l := other.next(); l.Revision != 2 {
-		t.Errorf("another agent tells revision %d first", l.Revision)
+		t.Errorf("an agent that is not partitioned sends revision %d first, want 2", l.Revision)
 	}
 	d.publish(fleet.Members[6])
 	text, _, isPartitioned, _ := d.nextUpdate(0, 1)
 	if !isPartitioned || text != nil {
-		t.Errorf("an agent that is cut off has %q to tell", text)
+		t.Errorf("a partitioned agent is to send %q, want nothing", text)
 	}
 	d.setPartitioned(false, 0)
 	if l := partitioned.next(); l.Revision != 3 || len(l.Members) != 2 {
-		t.Errorf("at its return it tells revision %d with %d members", l.Revision, len(l.Members))
+		t.Errorf("after the reconnect the agent sends revision %d with %d members, want 3 with 2", l.Revision, len(l.Members))
 	}
 }
 
@@ -129,7 +130,7 @@
 	w.next()
 	total, maxPerAgent, maxPerSecond := d.trafficTotals()
 	if total < int64(len(encodeList(newDelta(fleet, 2, membership.PhaseServing, 0, 0)))) || maxPerAgent != total || maxPerSecond <= 0 {
-		t.Errorf("%d bytes in all, %d of one agent, %d in a second", total, maxPerAgent, maxPerSecond)
+		t.Errorf("%d bytes in total, at most %d by one agent, at most %d in a second", total, maxPerAgent, maxPerSecond)
 	}
 	d.resetTraffic()
 	if total, _, _ := d.trafficTotals(); total != 0 {
--- a/internal/scale/doc.go
+++ b/internal/scale/doc.go
@@ -1,7 +1,10 @@
 // Package scale measures what an ingress costs at sizes beyond today's fleets.
 //
-// [MeasureSlopes] states each cost as a function of size; [Run] plays one
-// timeline of troubles against many ingresses, most of them without clients.
-// The systems around the ingresses (discovery with its agents, backends and
-// clients) are stand-ins of this package. All of them listen on loopback only.
+// [MeasureSlopes] measures each cost at several sizes and fits its growth. [Run]
+// runs a scenario of changes and failures against many ingresses, most of which
+// are control-plane-only: they follow discovery and keep the gateway's state,
+// but serve no clients. [MeasureList] measures what one list of backends costs.
+//
+// The systems around the ingresses (discovery with its agents, the backends and
+// the clients) are simulated by this package. They listen on loopback only.
 package scale
--- a/internal/scale/fit.go
+++ b/internal/scale/fit.go
@@ -5,30 +5,29 @@
 	"slices"
 )
 
-// Point is what was measured at one size, over some repetitions.
+// Point summarizes the repeated measurements at one size.
 type Point struct {
 	Size   int     `json:"size"`
 	Min    float64 `json:"min"`
 	Median float64 `json:"median"`
 }
 
-// Slope is one cost as a function of size.
+// Slope is one cost as a function of size, with fits through the medians.
 type Slope struct {
 	Name      string  `json:"name"`
-	Dimension string  `json:"of"` // what the size counts
+	Dimension string  `json:"of"` // what the size counts: backends, tenants or connections
 	Unit      string  `json:"unit"`
 	Points    []Point `json:"points"`
-	// PerThousand is the growth for each 1,000 of size: the slope of the line of
-	// least squares through the medians.
+	// PerThousand is the growth per 1,000 of size: the slope of the least-squares line.
 	PerThousand float64 `json:"per_thousand"`
-	// Exponent is that of the power of size that fits the medians best, 1 for a
-	// cost that grows evenly with size; 0 where the cost is not above nothing.
+	// Exponent is that of the best-fitting power law: 1 for a cost that is proportional
+	// to size. It is 0 if a median is not positive.
 	Exponent float64 `json:"exponent"`
-	// Residual is the root mean square of what the power leaves, as a part of each median.
+	// Residual is the root mean square error of the power law, relative to each median.
 	Residual float64 `json:"residual"`
 }
 
-// newPoint sums up the repetitions at one size; there is at least one.
+// newPoint summarizes the values measured at one size; values must not be empty.
 func newPoint(size int, values []float64) Point {
 	sorted := slices.Sorted(slices.Values(values))
 	middle := len(sorted) / 2
@@ -39,7 +38,7 @@
 	return Point{Size: size, Min: sorted[0], Median: median}
 }
 
-// fit fills in what follows from the points.
+// fit computes PerThousand, Exponent and Residual from the points.
 func (s *Slope) fit() {
 	var sizes, values, logSizes, logValues []float64
 	positive := true
@@ -63,8 +62,8 @@
 	s.Residual = math.Sqrt(sum / float64(len(s.Points)))
 }
 
-// leastSquares returns the line through the points that leaves least; it is
-// level through fewer than two sizes.
+// leastSquares returns the least-squares line through the points. Its slope is 0 if all
+// points have the same x.
 func leastSquares(xs, ys []float64) (slope, offset float64) {
 	var meanX, meanY float64
 	for i := range xs {
--- a/internal/scale/fit_test.go
+++ b/internal/scale/fit_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// almostEqual tells that a value is within a thousandth of what is wanted.
+// almostEqual reports whether got is within a thousandth of want.
 func almostEqual(got, want float64) bool {
 	return math.Abs(got-want) <= 1e-3*math.Max(1, math.Abs(want))
 }
@@ -16,9 +16,9 @@
 		cost     func(size float64) float64
 		exponent float64
 	}{
-		"even growth": {func(size float64) float64 { return 3 * size }, 1},
-		"square":      {func(size float64) float64 { return size * size / 1e3 }, 2},
-		"none":        {func(float64) float64 { return 7 }, 0},
+		"linear growth":    {func(size float64) float64 { return 3 * size }, 1},
+		"quadratic growth": {func(size float64) float64 { return size * size / 1e3 }, 2},
+		"no growth":        {func(float64) float64 { return 7 }, 0},
 	} {
 		s := Slope{Name: name}
 		for _, size := range []int{1000, 2000, 4000, 8000} {
@@ -28,8 +28,8 @@
 		if !almostEqual(s.Exponent, test.exponent) || !almostEqual(s.Residual, 0) {
 			t.Errorf("%s: exponent %v, residual %v; want %v and 0", name, s.Exponent, s.Residual, test.exponent)
 		}
-		if name == "even growth" && !almostEqual(s.PerThousand, 3000) {
-			t.Errorf("%s: %v for each 1,000, want 3000", name, s.PerThousand)
+		if name == "linear growth" && !almostEqual(s.PerThousand, 3000) {
+			t.Errorf("%s: %v per 1,000, want 3000", name, s.PerThousand)
 		}
 	}
 }
@@ -38,7 +38,7 @@
 	s := Slope{Points: []Point{newPoint(10, []float64{0}), newPoint(20, []float64{1})}}
 	s.fit()
 	if s.Exponent != 0 || s.Residual != 0 || !almostEqual(s.PerThousand, 100) {
-		t.Errorf("exponent %v, residual %v, %v for each 1,000; want 0, 0 and 100", s.Exponent, s.Residual, s.PerThousand)
+		t.Errorf("exponent %v, residual %v, %v per 1,000; want 0, 0 and 100", s.Exponent, s.Residual, s.PerThousand)
 	}
 }
 
--- a/internal/scale/fleet.go
+++ b/internal/scale/fleet.go
@@ -12,12 +12,13 @@
 const (
 	flavor    = "std-2core"
 	cellCount = 16
-	rackSize  = 40 // backends that fail with one switch
-	// generationOffset is where the number of a backend ends in its id; its generation follows.
+	rackSize  = 40 // backends behind one switch, which fail together
+	// generationOffset is the position of the generation in a backend's id. The number of
+	// the backend precedes it.
 	generationOffset = len("s-000000")
 )
 
-// zones are the names of all zones of the target.
+// zones holds the names of all zones of the target deployment.
 var zones = func() (names []string) {
 	for region := range TargetRegions {
 		for zone := range TargetZonesPerRegion {
@@ -27,13 +28,15 @@
 	return names
 }()
 
-// backendAddress is the loopback address of a backend by its number. The first
-// two bytes are those of all backends; no host number ends in 0 or 255.
+// backendAddress returns the loopback address of the backend with the given number. The
+// second byte starts at 64, which keeps backends apart from agents; the last byte is
+// never 0 or 255.
 func backendAddress(number, port int) string {
 	return fmt.Sprintf("127.%d.%d.%d:%d", 64+number/(250*250), number/250%250+1, number%250+1, port)
 }
 
-// newMember is a backend that started at a time in Unix milliseconds, 0 for long ago.
+// newMember returns a serving backend that started at upSince, in Unix milliseconds; 0
+// means long ago.
 func newMember(number, generation, port int, upSince int64) *membership.Member {
 	return &membership.Member{
 		ID: fmt.Sprintf("s-%06x%02x", number, generation&0xff), HostPort: backendAddress(number, port),
@@ -42,7 +45,7 @@
 	}
 }
 
-// newFleet is a whole list of so many backends, all of which started long ago.
+// newFleet returns the full list of size backends, all of which started long ago.
 func newFleet(size, port int) membership.List {
 	list := membership.List{Revision: 1, Complete: true, Members: make([]*membership.Member, size)}
 	for i := range list.Members {
@@ -51,14 +54,15 @@
 	return list
 }
 
-// withPhase is a copy of a member in a phase, with a start.
+// withPhase returns a copy of a member with another phase and start time.
 func withPhase(m *membership.Member, phase string, upSince int64) *membership.Member {
 	changed := *m
 	changed.Phase, changed.UpSince = phase, upSince
 	return &changed
 }
 
-// newDelta is what some members of a list become, by their numbers.
+// newDelta returns a change that gives the members with the given numbers another phase
+// and start time.
 func newDelta(l membership.List, revision int64, phase string, upSince int64, numbers ...int) membership.List {
 	delta := membership.List{Revision: revision}
 	for _, number := range numbers {
@@ -67,7 +71,7 @@
 	return delta
 }
 
-// numbersInZone are the numbers of the backends of a zone.
+// numbersInZone returns the numbers of the backends in a zone.
 func numbersInZone(l membership.List, zone string) (numbers []int) {
 	for i, member := range l.Members {
 		if member.Locality == zone {
@@ -77,20 +81,22 @@
 	return numbers
 }
 
-// encodeList is a list on one line, as discovery writes it.
+// encodeList encodes a list on one line, as discovery sends it.
 func encodeList(l membership.List) []byte {
 	line, err := json.Marshal(l)
 	if err != nil {
-		panic(err) // strings and finite numbers always have a form
+		panic(err) // strings and finite numbers can always be encoded
 	}
 	return line
 }
 
-// settingsJSON are the deployment's, in the form in which an ingress is told them.
+// settingsJSON returns the settings of the ingress with the index self, in the form of
+// an ingress's configuration.
 func settingsJSON(ingresses, self int) string {
 	return fmt.Sprintf(strings.Join(strings.Fields(settingsTemplate), ""), ingresses, self, quotedList(zones), flavor)
 }
 
+// quotedList returns the names as the elements of a JSON array.
 func quotedList(names []string) string {
 	names = slices.Clone(names)
 	for i, name := range names {
@@ -99,7 +105,8 @@
 	return strings.Join(names, ",")
 }
 
-// settingsTemplate has no blanks inside strings, so that its white space can go.
+// settingsTemplate is the format of settingsJSON. Its strings hold no white space, so
+// that all white space can be removed.
 const settingsTemplate = `{
   "balancers":%d,"self_index":%d,"zone":0,"zones":[%s],"kinds":["%s"],"tick_ms":2,"discovery":"push",
   "bounds":{"cancelling":true,"conn_idle_ms":15000,"connect_timeout_ms":250,"max_retry_after_ms":2500,
--- a/internal/scale/hollow.go
+++ b/internal/scale/hollow.go
@@ -17,52 +17,51 @@
 	"cedarseam/internal/ingress"
 )
 
-// ControlPlaneSpec tells a process which ingresses it runs: each follows discovery and
-// keeps the gateway's state, without clients.
+// ControlPlaneSpec specifies the control-plane-only ingresses that one process runs.
+// They follow discovery and keep the gateway's state, but serve no clients.
 type ControlPlaneSpec struct {
-	Ingresses int      `json:"ingresses"` // of the whole tier
-	First     int      `json:"first"`     // number of the first one here
-	Agents    []string `json:"agents"`    // where each one's discovery is
+	Ingresses int      `json:"ingresses"` // in the whole deployment
+	First     int      `json:"first"`     // number of the first ingress of the process
+	Agents    []string `json:"agents"`    // discovery address of each ingress of the process
 }
 
-// controlPlaneSample is what such a process answers to each line that it reads.
+// controlPlaneSample is the reply of a control plane process to a sample request.
 type controlPlaneSample struct {
-	CPUTime  time.Duration `json:"processor"` // used so far
-	Resident int64         `json:"resident"`  // bytes in memory
-	Heap     int64         `json:"heap"`      // bytes of it in use, if that was asked for
+	CPUTime  time.Duration `json:"processor"` // since the process started
+	Resident int64         `json:"resident"`  // bytes of resident memory
+	Heap     int64         `json:"heap"`      // bytes in use, 0 if not requested
 	Applied  []appliedList `json:"applied"`   // since the last sample
 }
 
-// appliedList tells when an ingress had a list in force.
+// appliedList records when an ingress finished applying a list.
 type appliedList struct {
 	Ingress  int   `json:"i"`
 	Revision int64 `json:"r"`
 	At       int64 `json:"at"` // Unix time in microseconds
 }
 
-// controlPlaneGCPercent is the share of garbage, in percent of what is in use, that such
-// a process may hold: many ingresses share the machine.
+// controlPlaneGCPercent is the garbage collection target (GOGC) of a control plane
+// process. It is below the default because many ingresses share the machine's memory.
 const controlPlaneGCPercent = 30
 
-// The questions that such a process answers with a sample, each on a line.
+// The requests to a control plane process, each of which is answered with a sample.
 const (
 	sampleRequest     = "sample\n"
-	heapSampleRequest = "heap\n" // the same, after a collection
+	heapSampleRequest = "heap\n" // sample after a garbage collection, with Heap set
 )
 
-// RunControlPlanes runs the ingresses of the specification that stands on the first
-// line of the input. It answers every further line with a sample, and ends with
-// the input.
+// RunControlPlanes runs the ingresses of the JSON specification on the first line of in.
+// It writes a JSON sample to out for each further line and returns at the end of in.
 func RunControlPlanes(ctx context.Context, in io.Reader, out io.Writer) error {
 	debug.SetGCPercent(controlPlaneGCPercent)
 	lines := bufio.NewReader(in)
 	specLine, err := lines.ReadBytes('\n')
 	if err != nil {
-		return fmt.Errorf("hollow: specification: %w", err)
+		return fmt.Errorf("hollow: read specification: %w", err)
 	}
 	var spec ControlPlaneSpec
 	if err := json.Unmarshal(specLine, &spec); err != nil {
-		return fmt.Errorf("hollow: specification: %w", err)
+		return fmt.Errorf("hollow: decode specification: %w", err)
 	}
 	ctx, stop := context.WithCancel(ctx)
 	var workers sync.WaitGroup
@@ -100,6 +99,8 @@
 	}
 }
 
+// takeSample measures this process. If collectGarbage is set, the garbage is collected
+// and the memory in use is part of the sample.
 func takeSample(log *appliedLog, collectGarbage bool) (controlPlaneSample, error) {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
@@ -117,14 +118,15 @@
 	return sample, nil
 }
 
-// appliedLog keeps which lists were in force when.
+// appliedLog collects the lists that ingresses have applied since the last take.
 type appliedLog struct {
 	mu    sync.Mutex
 	lists []appliedList
-	last  map[int]int64 // revision by ingress
+	last  map[int]int64 // last applied revision by ingress
 }
 
-// add notes a list, unless its revision is in force already.
+// add records that an ingress has applied a revision, unless the ingress applied the
+// same revision last.
 func (l *appliedLog) add(ingress int, revision int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -137,6 +139,7 @@
 	}
 }
 
+// take returns the collected lists and empties the log.
 func (l *appliedLog) take() []appliedList {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -145,14 +148,15 @@
 	return lists
 }
 
-// controlPlaneProcess is such a process, seen from the one that started it.
+// controlPlaneProcess is a child process that runs control-plane-only ingresses.
 type controlPlaneProcess struct {
 	command *exec.Cmd
 	in      io.WriteCloser
 	samples *json.Decoder
 }
 
-// startControlPlaneProcess starts a process of the program given, which is this one.
+// startControlPlaneProcess starts the program, which must be this one, as a control plane
+// process.
 func startControlPlaneProcess(ctx context.Context, program string, spec ControlPlaneSpec) (*controlPlaneProcess, error) {
 	process := &controlPlaneProcess{command: exec.CommandContext(ctx, program, "--logs", "error", "hollow")}
 	process.command.Stderr = os.Stderr
@@ -176,18 +180,20 @@
 	return process, nil
 }
 
+// sample sends a request and returns the sample that answers it.
 func (p *controlPlaneProcess) sample(request string) (controlPlaneSample, error) {
 	var sample controlPlaneSample
 	if _, err := io.WriteString(p.in, request); err != nil {
-		return sample, fmt.Errorf("process of ingresses: %w", err)
+		return sample, fmt.Errorf("request sample from control plane process: %w", err)
 	}
 	if err := p.samples.Decode(&sample); err != nil {
-		return sample, fmt.Errorf("process of ingresses: %w", err)
+		return sample, fmt.Errorf("read sample from control plane process: %w", err)
 	}
 	return sample, nil
 }
 
-// stop ends the process, by force if it must.
+// stop closes the standard input of the process, which ends it, and kills the process if
+// it has not exited within stopTimeout.
 func (p *controlPlaneProcess) stop() {
 	p.in.Close()
 	killTimer := time.AfterFunc(stopTimeout, func() { p.command.Process.Kill() })
--- a/internal/scale/list.go
+++ b/internal/scale/list.go
@@ -8,15 +8,15 @@
 	"cedarseam/internal/ingress"
 )
 
-// ListCost is what one whole list costs an ingress that holds nothing yet, and
-// what it costs when it is told again.
+// ListCost holds the costs of a full list for an ingress that has no list yet, and the
+// costs when the ingress receives the same list again.
 type ListCost struct {
 	Machine Machine  `json:"machine"`
 	Repeats int      `json:"repeats"`
 	Figures []Figure `json:"figures"`
 }
 
-// MeasureList measures the list that a file holds in the form of discovery.
+// MeasureList measures the costs of the full list in a file, which has discovery's format.
 func MeasureList(path string, repeats int) (*ListCost, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -57,8 +57,9 @@
 	return result, nil
 }
 
-// maxLoopHold is how long a list may keep a request waiting.
+// maxLoopHold is the budget for the longest time that applying a list blocks the event
+// loop, and so delays requests.
 const maxLoopHold = 2 * time.Millisecond
 
-// OverBudget tells whether a figure breaks its budget.
+// OverBudget reports whether any figure exceeds its budget.
 func (c *ListCost) OverBudget() bool { return anyOverBudget(c.Figures) }
--- a/internal/scale/listen.go
+++ b/internal/scale/listen.go
@@ -9,8 +9,8 @@
 
 const loopbackDevice = "lo"
 
-// listenOnLoopback listens at one port of all of 127.0.0.0/8, and nowhere else:
-// the socket is bound to the loopback device. A port of 0 takes a free one.
+// listenOnLoopback listens on one port of all addresses in 127.0.0.0/8 and of no others:
+// the socket is bound to the loopback device. Port 0 selects a free port.
 func listenOnLoopback(port int) (listener net.Listener, chosenPort int, err error) {
 	config := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error {
 		var bindErr error
--- a/internal/scale/live.go
+++ b/internal/scale/live.go
@@ -2,13 +2,15 @@
 
 import "time"
 
+// The load of measureListsUnderLoad.
 const (
-	underLoadRate         = 250.0                   // requests a second
-	underLoadDuration     = 9 * time.Second         // of the load
-	underLoadListInterval = 1500 * time.Millisecond // a whole list comes so often, with one change
+	underLoadRate         = 250.0 // requests per second
+	underLoadDuration     = 9 * time.Second
+	underLoadListInterval = 1500 * time.Millisecond // between full lists, each with one change
 )
 
-// measureListsUnderLoad measures a running ingress that gets whole lists under load.
+// measureListsUnderLoad measures the latencies and the processor time of an ingress process
+// that receives full lists while it serves requests.
 func (m *measurement) measureListsUnderLoad(size int) error {
 	backends, err := startBackendStub()
 	if err != nil {
--- a/internal/scale/load.go
+++ b/internal/scale/load.go
@@ -15,21 +15,21 @@
 )
 
 const (
-	maxLoadConnections       = 200              // open at once towards one ingress
-	maxRecordedLatency       = 60 * time.Second // that is told apart from longer ones
-	latencySignificantDigits = 3                // significant digits kept
-	replyTimeout             = 20 * time.Second // an answer that has not come by then never comes
+	maxLoadConnections       = 200              // open at the same time to one ingress
+	maxRecordedLatency       = 60 * time.Second // longer latencies are recorded as this one
+	latencySignificantDigits = 3                // kept by the histogram
+	replyTimeout             = 20 * time.Second // after this, a request counts as unanswered
 )
 
-// loadOptions bound the requests sent to one ingress.
+// loadOptions describe the requests sent to one ingress.
 type loadOptions struct {
 	address  string
-	rate     float64       // requests a second
-	duration time.Duration // how long new ones are sent
+	rate     float64       // requests per second
+	duration time.Duration // how long new requests are sent
 	seed     uint64
 }
 
-// LoadResult tells what became of the requests.
+// LoadResult holds the outcomes and latencies of requests.
 type LoadResult struct {
 	Sent       int64   `json:"sent"`
 	Served     int64   `json:"served"`
@@ -41,36 +41,39 @@
 	Worst      float64 `json:"worst_ms"`
 }
 
-// loadGenerator sends requests at an even rate, whether or not the ones before are
-// answered: a request's time counts from when it was due.
+// loadGenerator is an open-loop load generator: it schedules requests at a constant rate,
+// whether or not earlier ones are answered. Latencies count from the time at which a
+// request was due.
 type loadGenerator struct {
 	options loadOptions
 	due     chan scheduledRequest
 
 	mu        sync.Mutex
-	result    LoadResult              // counts since the last take
-	latencies *hdrhistogram.Histogram // of all that were answered since, in microseconds
+	result    LoadResult              // counts since the last takeResult
+	latencies *hdrhistogram.Histogram // of the requests answered since then, in microseconds
 }
 
-// scheduledRequest is one request to be sent.
+// scheduledRequest is a request that is due at a time.
 type scheduledRequest struct {
 	dueAt   time.Time
 	command []byte
 }
 
-// newLoadGenerator makes a load that has sent nothing yet.
+// newLoadGenerator returns a load generator that run starts.
 func newLoadGenerator(options loadOptions) *loadGenerator {
 	return &loadGenerator{options: options, due: make(chan scheduledRequest, options.maxRequests()), latencies: newHistogram()}
 }
 
+// newHistogram returns an empty histogram of latencies in microseconds.
 func newHistogram() *hdrhistogram.Histogram {
 	return hdrhistogram.New(1, maxRecordedLatency.Microseconds(), latencySignificantDigits)
 }
 
-// maxRequests is how many requests are sent at most.
+// maxRequests returns the number of requests sent if the load is not stopped early.
 func (o loadOptions) maxRequests() int { return int(o.rate * o.duration.Seconds()) }
 
-// run sends requests until their time is over or ctx ends, and all are answered.
+// run sends requests for the duration of the load or until ctx is cancelled, and then waits
+// for the outstanding replies.
 func (l *loadGenerator) run(ctx context.Context) {
 	var workers sync.WaitGroup
 	for range min(maxLoadConnections, l.options.maxRequests()) {
@@ -81,7 +84,7 @@
 	workers.Wait()
 }
 
-// takeResult returns what became of requests since it was last called.
+// takeResult returns the outcomes and latencies since the last call, and resets them.
 func (l *loadGenerator) takeResult() (LoadResult, *hdrhistogram.Histogram) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -90,7 +93,7 @@
 	return result.withQuantiles(latencies), latencies
 }
 
-// withQuantiles fills the quantiles in.
+// withQuantiles returns the result with the quantiles of the latencies, in milliseconds.
 func (r LoadResult) withQuantiles(latencies *hdrhistogram.Histogram) LoadResult {
 	r.P50 = float64(latencies.ValueAtQuantile(50)) / 1e3
 	r.P99 = float64(latencies.ValueAtQuantile(99)) / 1e3
@@ -98,20 +101,20 @@
 	return r
 }
 
-// plus adds counts up.
+// plus returns the sums of the counts, without latencies.
 func (r LoadResult) plus(other LoadResult) LoadResult {
 	return LoadResult{Sent: r.Sent + other.Sent, Served: r.Served + other.Served, Refused: r.Refused + other.Refused,
 		Failed: r.Failed + other.Failed, Unanswered: r.Unanswered + other.Unanswered}
 }
 
-// updateResult changes the counts.
+// updateResult changes the result under the lock.
 func (l *loadGenerator) updateResult(change func(*LoadResult)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	change(&l.result)
 }
 
-// schedule makes each request due at its time.
+// schedule hands each request to the workers when it is due.
 func (l *loadGenerator) schedule(ctx context.Context) {
 	random := rand.New(rand.NewPCG(l.options.seed, 1))
 	started := time.Now()
@@ -127,7 +130,8 @@
 	}
 }
 
-// randomRequest is one request of a random customer and class.
+// randomRequest returns the encoded command of a random customer and class: 48 % view,
+// 28 % draft and 24 % submit.
 func randomRequest(random *rand.Rand) []byte {
 	customer := fmt.Sprintf("%016x", random.IntN(TargetTenants))
 	id := fmt.Sprintf("%016x", random.Uint64())
@@ -157,7 +161,8 @@
 	return command
 }
 
-// work sends requests that are due on one connection after another.
+// work is one worker: it sends due requests on a connection of its own, which it replaces
+// after a failure.
 func (l *loadGenerator) work() {
 	var connection net.Conn
 	var replies *bufio.Reader
@@ -180,8 +185,8 @@
 	}
 }
 
-// roundTrip sends one request and takes its answer. It returns false if the
-// connection is of no further use.
+// roundTrip sends one request and reads its reply. It returns false if the connection
+// cannot be used again.
 func (l *loadGenerator) roundTrip(connection net.Conn, replies *bufio.Reader, request scheduledRequest) bool {
 	connection.SetDeadline(time.Now().Add(replyTimeout))
 	if _, err := connection.Write(request.command); err != nil {
@@ -200,7 +205,7 @@
 	return true
 }
 
-// recordReply takes an answer's first line and its time.
+// recordReply counts a reply by its first line and records its latency.
 func (l *loadGenerator) recordReply(line string, latency time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/scale/machine.go
+++ b/internal/scale/machine.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// Machine tells on what a measurement was made.
+// Machine describes the machine of a measurement.
 type Machine struct {
 	Cores    int    `json:"cores"`
 	MemoryMB int    `json:"memory_mb"`
@@ -19,11 +19,11 @@
 }
 
 func currentMachine() Machine {
-	total, _ := procMemoryField("/proc/meminfo", "MemTotal:") // 0 where the system does not tell
+	total, _ := procMemoryField("/proc/meminfo", "MemTotal:") // 0 if not available
 	return Machine{Cores: runtime.NumCPU(), MemoryMB: int(total >> 20), Go: runtime.Version()}
 }
 
-// procMemoryField reads a figure in kB of a file of the proc file system, in bytes.
+// procMemoryField returns a field in kB from a file of the proc file system, in bytes.
 func procMemoryField(path, name string) (int64, error) {
 	file, err := os.Open(path)
 	if err != nil {
@@ -38,28 +38,28 @@
 			return kilobytes << 10, err
 		}
 	}
-	return 0, fmt.Errorf("%s: no line %s", path, name)
+	return 0, fmt.Errorf("%s: no field %s", path, name)
 }
 
-// residentMemory is what a process holds in memory, in bytes.
+// residentMemory returns the resident set size of a process in bytes.
 func residentMemory(pid int) (int64, error) {
 	return procMemoryField(fmt.Sprintf("/proc/%d/status", pid), "VmRSS:")
 }
 
-// clockTicksPerSecond is the unit of the system's figures of processor time.
+// clockTicksPerSecond is the unit (USER_HZ) of the processor times in /proc/PID/stat.
 const clockTicksPerSecond = 100
 
-// processCPUTime is what a process has used of all cores.
+// processCPUTime returns the processor time that a process has used on all cores.
 func processCPUTime(pid int) (time.Duration, error) {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return 0, err
 	}
-	// The second field is a name in brackets, which may hold blanks.
+	// The second field is the program's name in parentheses, which may contain spaces.
 	fields := strings.Fields(string(text[bytes.LastIndexByte(text, ')')+1:]))
 	const user, system = 11, 12
 	if len(fields) <= system {
-		return 0, fmt.Errorf("process %d: its statistics end early", pid)
+		return 0, fmt.Errorf("process %d: its /proc stat line has too few fields", pid)
 	}
 	sum := int64(0)
 	for _, field := range []string{fields[user], fields[system]} {
--- a/internal/scale/process.go
+++ b/internal/scale/process.go
@@ -17,13 +17,13 @@
 )
 
 const (
-	readyTimeout      = 30 * time.Second       // an ingress that is not ready by then has failed
-	stopTimeout       = 20 * time.Second       // and one that has not ended by then after SIGTERM
-	readyPollInterval = 2 * time.Millisecond   // between two questions whether it is
-	pingTimeout       = 500 * time.Millisecond // of one such question
+	readyTimeout      = 30 * time.Second       // for an ingress to accept clients
+	stopTimeout       = 20 * time.Second       // for a process to exit before it is killed
+	readyPollInterval = 2 * time.Millisecond   // between readiness checks
+	pingTimeout       = 500 * time.Millisecond // of one readiness check
 )
 
-// ingressSpec is what one ingress process is told.
+// ingressSpec specifies one ingress process.
 type ingressSpec struct {
 	program    string
 	name       string
@@ -34,18 +34,19 @@
 	maxSockets int
 }
 
-// ingressProcess is a running ingress.
+// ingressProcess is a running ingress process.
 type ingressProcess struct {
 	command    *exec.Cmd
 	directory  string
 	address    string
 	exited     chan struct{}
-	exitErr    error // valid once ended is closed
+	exitErr    error // valid once exited is closed
 	started    time.Time
-	readyAfter time.Duration // from its start to its first answer
+	readyAfter time.Duration // from the start until the ingress accepted clients
 }
 
-// startIngress starts an ingress and waits until it is ready. The caller stops it.
+// startIngress starts an ingress process and waits until it accepts clients. The caller
+// must stop it.
 func startIngress(ctx context.Context, spec ingressSpec) (*ingressProcess, error) {
 	directory, err := os.MkdirTemp("", "scale-")
 	if err != nil {
@@ -63,6 +64,7 @@
 	return process, nil
 }
 
+// start writes the configuration and starts the process.
 func (p *ingressProcess) start(ctx context.Context, spec ingressSpec) error {
 	address, err := freeAddress()
 	if err != nil {
@@ -91,7 +93,7 @@
 	return nil
 }
 
-// configJSON is the configuration of an ingress that listens at an address.
+// configJSON returns the configuration of an ingress that listens on the given address.
 func configJSON(spec ingressSpec, address string) ([]byte, error) {
 	config := map[string]any{
 		"name": spec.name, "listen": address, "discovery": spec.discovery, "seed": fmt.Sprintf("%x", spec.index+1),
@@ -104,14 +106,14 @@
 	return json.Marshal(config)
 }
 
-var errNotReady = errors.New("it is not ready in time")
+var errNotReady = errors.New("not ready before the timeout")
 
-// waitReady asks until the ingress answers that it is ready.
+// waitReady polls the ingress until it accepts clients, for at most readyTimeout.
 func (p *ingressProcess) waitReady(ctx context.Context) error {
 	for time.Since(p.started) < readyTimeout {
 		select {
 		case <-p.exited:
-			return fmt.Errorf("it ended before it was ready: %w", p.exitErr)
+			return fmt.Errorf("process exited before it was ready: %w", p.exitErr)
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-time.After(readyPollInterval):
@@ -124,7 +126,7 @@
 	return errNotReady
 }
 
-// acceptsClients tells whether an ingress lets clients in.
+// acceptsClients reports whether an ingress answers PING with PONG.
 func acceptsClients(address string) bool {
 	connection, err := net.DialTimeout("tcp", address, pingTimeout)
 	if err != nil {
@@ -135,7 +137,7 @@
 	return err == nil && line == "+PONG\r\n"
 }
 
-// ping asks on a connection whether clients are let in, and returns the line that answers.
+// ping sends PING and returns the reply line.
 func ping(connection net.Conn, timeout time.Duration) (line string, err error) {
 	connection.SetDeadline(time.Now().Add(timeout))
 	if _, err := connection.Write([]byte("*1\r\n$4\r\nPING\r\n")); err != nil {
@@ -144,7 +146,8 @@
 	return bufio.NewReader(connection).ReadString('\n')
 }
 
-// stop ends the process, by force if it must.
+// stop sends SIGTERM, kills the process if it has not exited within stopTimeout, and removes
+// its configuration.
 func (p *ingressProcess) stop() {
 	defer os.RemoveAll(p.directory)
 	p.command.Process.Signal(syscall.SIGTERM)
@@ -156,7 +159,7 @@
 	}
 }
 
-// freeAddress is a loopback address on which nobody listens now.
+// freeAddress returns a loopback address whose port is free at the moment.
 func freeAddress() (string, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/scale/report.go
+++ b/internal/scale/report.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// Markdown is a table of the slopes, with the minimum and the median at each size.
+// Markdown returns a table of the slopes, with the minimum and the median at each size.
 func (s *Slopes) Markdown() string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "%d cores, %d MB, %s; %d repetitions, minimum / median.\n", s.Machine.Cores, s.Machine.MemoryMB, s.Machine.Go, s.Repeats)
@@ -28,11 +28,11 @@
 	return text.String()
 }
 
-// formatNumber is a number with three significant digits at most.
+// formatNumber formats a number with at most three significant digits.
 func formatNumber(v float64) string { return fmt.Sprintf("%.3g", v) }
 
-// Markdown is a table of what each phase cost, and one of the figures; those over
-// their budget are marked.
+// Markdown returns a table of the phases and a table of the figures. Figures over their
+// budget are marked.
 func (r *RunResult) Markdown() string {
 	var text strings.Builder
 	options := r.Options
@@ -49,7 +49,7 @@
 	return text.String()
 }
 
-// Markdown is a table of the figures; those over their budget are marked.
+// Markdown returns a table of the figures. Figures over their budget are marked.
 func (c *ListCost) Markdown() string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "%d cores, %d MB, %s; median of %d repetitions.\n", c.Machine.Cores, c.Machine.MemoryMB, c.Machine.Go, c.Repeats)
@@ -57,6 +57,7 @@
 	return text.String()
 }
 
+// writeFigures writes a table of figures and marks those over their budget.
 func writeFigures(text *strings.Builder, figures []Figure) {
 	text.WriteString("\n| figure | value | unit | budget | |\n| --- | --- | --- | --- | --- |\n")
 	for _, f := range figures {
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -14,81 +14,84 @@
 	"cedarseam/internal/membership"
 )
 
-// RunOptions tell what is run. Durations are of the timeline's parts.
+// RunOptions describe a run. The durations are those of the timeline's phases.
 type RunOptions struct {
-	Ingresses int     // in all
-	Real      int     // of them, whole processes that carry load
-	Backends  int     // before them
+	Ingresses int     // total number
+	Real      int     // ingress processes that serve load; the others are control-plane-only
+	Backends  int     // number of backends
 	Seed      uint64  // of the load
-	Rate      float64 // requests a second to each real ingress
-	Program   string  `json:"-"` // this program, which runs the ingresses without clients
-	Ingress   string  `json:"-"` // the ingress program
+	Rate      float64 // requests per second to each real ingress
+	Program   string  `json:"-"` // path of this program, which runs the control-plane-only ingresses
+	Ingress   string  `json:"-"` // path of the ingress program
 
-	Quiet   time.Duration // nothing changes: at the beginning, and at the end
-	Release time.Duration // a part of the backends is replaced
-	Zone    time.Duration // a zone is lost
-	Cut     time.Duration // discovery is cut off from half of the ingresses
+	Quiet   time.Duration // no change is published: at the beginning, and after the reconnect
+	Release time.Duration // a share of the backends is replaced
+	Zone    time.Duration // half for the outage of a zone, half for its return
+	Cut     time.Duration // half of the ingresses are partitioned from discovery
 
-	Replaced float64 // part of the backends that the release replaces
+	Replaced float64 // fraction of the backends that the release replaces
 }
 
-// The size of the whole run.
+// The parameters and limits of a run.
 const (
 	controlPlaneProcessesPerCore = 1
 	releaseSteps                 = 20
 	partitionReleaseSteps        = 4
-	convergenceTimeout           = 60 * time.Second       // until all ingresses hold a change, at the longest
-	convergencePollInterval      = 100 * time.Millisecond // between two looks whether they do
-	memoryPerIngress             = 512 << 10              // bytes, besides what the list takes
-	memoryPerBackend             = 1110                   // bytes at each ingress: 850 as measured, and the garbage allowed
-	memoryDivisor                = 2                      // the run takes 1 of so many parts of the machine's memory at most
-	maxProcesses                 = 300
+	convergenceTimeout           = 60 * time.Second       // until all ingresses have applied a change
+	convergencePollInterval      = 100 * time.Millisecond // between samples while waiting for it
+	memoryPerIngress             = 512 << 10              // bytes, without the list
+	// memoryPerBackend is the bytes per backend at each ingress: 850 in use, and the garbage
+	// that controlPlaneGCPercent allows.
+	memoryPerBackend = 1110
+	memoryDivisor    = 2 // a run may need one part in this many of the machine's memory
+	maxProcesses     = 300
 )
 
-// Check tells what of the options can't be run on this machine.
+// Check returns an error if this machine cannot run the options.
 func (o RunOptions) Check() error {
 	if o.Real < 0 || o.Real >= o.Ingresses {
-		return fmt.Errorf("%d real ingresses of %d: some must be without clients", o.Real, o.Ingresses)
+		return fmt.Errorf("%d of %d ingresses are real: at least one must run without clients", o.Real, o.Ingresses)
 	}
 	if o.Ingresses > maxAgents {
-		return fmt.Errorf("%d ingresses: there are %d addresses for agents", o.Ingresses, maxAgents)
+		return fmt.Errorf("%d ingresses: only %d addresses are available to agents", o.Ingresses, maxAgents)
 	}
 	if o.Real+runtime.NumCPU() >= maxProcesses {
-		return fmt.Errorf("%d real ingresses: the run would start over %d processes", o.Real, maxProcesses)
+		return fmt.Errorf("%d real ingresses: the run would start %d processes or more", o.Real, maxProcesses)
 	}
 	need := int64(o.Ingresses) * (memoryPerIngress + memoryPerBackend*int64(o.Backends))
 	total := int64(currentMachine().MemoryMB) << 20
 	if need > total/memoryDivisor {
-		return fmt.Errorf("%d ingresses and %d backends take about %d MB, over half of the machine's %d MB",
+		return fmt.Errorf("%d ingresses and %d backends need about %d MB, more than half of the machine's %d MB",
 			o.Ingresses, o.Backends, need>>20, total>>20)
 	}
 	return nil
 }
 
-// controlPlaneCount are how many ingresses run without clients.
+// controlPlaneCount returns the number of control-plane-only ingresses.
 func (o RunOptions) controlPlaneCount() int { return o.Ingresses - o.Real }
 
-// phaseStart is the phase in which all ingresses get their first list.
+// phaseStart is the phase in which all ingresses receive their first list.
 const phaseStart = "start"
 
-// Phase is what one part of the timeline cost each ingress without clients.
+// Phase holds the measurements of one phase of the timeline. Processor time and delays are
+// those of the control-plane-only ingresses, traffic and changes those of all ingresses.
 type Phase struct {
 	Name           string  `json:"name"`
 	Seconds        float64 `json:"seconds"`
-	Changes        int     `json:"changes"`           // told by discovery
-	UpdatedMembers int     `json:"lines"`             // in them
-	CPUPercent     float64 `json:"processor_percent"` // of a core, the mean ingress
-	KBPerSecond    float64 `json:"bytes_kb_per_s"`    // the mean ingress
-	MaxKBPerSecond float64 `json:"most_bytes_kb_per_s"`
-	WorstSecondMB  float64 `json:"worst_second_mb"` // of what discovery sends to all
-	MedianDelay    float64 `json:"median_s"`        // from a change until an ingress holds it
+	Changes        int     `json:"changes"`             // published by discovery
+	UpdatedMembers int     `json:"lines"`               // in these changes
+	CPUPercent     float64 `json:"processor_percent"`   // of a core, mean per ingress
+	KBPerSecond    float64 `json:"bytes_kb_per_s"`      // sent by discovery, mean per ingress
+	MaxKBPerSecond float64 `json:"most_bytes_kb_per_s"` // the ingress that received most
+	WorstSecondMB  float64 `json:"worst_second_mb"`     // most sent to all in one second
+	MedianDelay    float64 `json:"median_s"`            // from a change until an ingress applied it
 	P99Delay       float64 `json:"p99_s"`
 	LastDelay      float64 `json:"last_s"`
 
 	Load LoadResult `json:"load"` // of the real ingresses together
 }
 
-// RunResult is what a run has measured.
+// RunResult holds the measurements of a run.
 type RunResult struct {
 	Machine    Machine    `json:"machine"`
 	Options    RunOptions `json:"options"`
@@ -97,10 +100,10 @@
 	Figures    []Figure   `json:"figures"`
 }
 
-// OverBudget tells whether a figure breaks its budget.
+// OverBudget reports whether any figure exceeds its budget.
 func (r *RunResult) OverBudget() bool { return anyOverBudget(r.Figures) }
 
-// run is a run under way.
+// run is the state of a run.
 type run struct {
 	ctx           context.Context
 	options       RunOptions
@@ -108,22 +111,23 @@
 	discovery     *discoveryStub
 	controlPlanes []*controlPlaneProcess
 	realIngresses []*ingressProcess
-	fleet         membership.List // as it now is, by the number of each backend
+	fleet         membership.List // current state of each backend, by number
 	result        *RunResult
 
-	// Of the phase under way.
-	publishedAt    map[int64]int64 // by revision, Unix time in microseconds
+	// The changes of the current phase.
+	publishedAt    map[int64]int64 // Unix time in microseconds, by revision
 	updatedMembers int
-	excluded       map[int64]bool // revisions told while some ingresses could not hear
-	generators     []*loadGenerator
-	latencies      *hdrhistogram.Histogram // of the whole run, in microseconds
-	residentMB     float64                 // MB of the mean ingress without clients, the most so far
-	heapMB         float64                 // MB of it in use at the end
+	excluded       map[int64]bool // revisions published while some ingresses were partitioned
+
+	generators []*loadGenerator
+	latencies  *hdrhistogram.Histogram // of the whole run, in microseconds
+	residentMB float64                 // mean per control-plane-only ingress, highest phase
+	heapMB     float64                 // in use at the end, mean per control-plane-only ingress
 }
 
-// Run plays one timeline: a quiet time, the replacement of a part of the
-// backends in steps, the loss of a zone and its return, and discovery cut off
-// from half of the ingresses while a replacement goes on, and back at once.
+// Run runs one timeline: a phase without changes, the stepwise replacement of a share of
+// the backends, the outage of a zone and its return, and a partition of half of the
+// ingresses from discovery during another replacement, which ends for all at once.
 func Run(ctx context.Context, options RunOptions) (*RunResult, error) {
 	if err := options.Check(); err != nil {
 		return nil, err
@@ -140,7 +144,7 @@
 	return r.result, nil
 }
 
-// start starts the stand-ins and all ingresses.
+// start starts the simulated systems and all ingresses.
 func (r *run) start() (err error) {
 	if r.backends, err = startBackendStub(); err != nil {
 		return err
@@ -160,7 +164,7 @@
 	return r.startControlPlanes()
 }
 
-// startControlPlanes spreads the ingresses without clients over some processes.
+// startControlPlanes distributes the control-plane-only ingresses evenly over processes.
 func (r *run) startControlPlanes() error {
 	first, remaining := r.options.Real, r.options.controlPlaneCount()
 	processes := min(remaining, controlPlaneProcessesPerCore*runtime.NumCPU())
@@ -180,7 +184,7 @@
 	return nil
 }
 
-// stop ends all that start has started, at the same time.
+// stop stops the ingresses concurrently, and then the simulated systems.
 func (r *run) stop() {
 	var stopping sync.WaitGroup
 	for _, process := range r.realIngresses {
@@ -198,7 +202,7 @@
 	}
 }
 
-// runTimeline runs the timeline under load.
+// runTimeline runs all phases, those after the first under load.
 func (r *run) runTimeline() error {
 	if err := r.runPhase(phaseStart, func() error { return nil }); err != nil {
 		return err
@@ -230,8 +234,8 @@
 	return nil
 }
 
-// startLoad sends requests to the real ingresses until the function that it
-// returns is called, which waits for the last answers.
+// startLoad starts sending requests to the real ingresses. The function that it returns
+// stops the load and waits for the last replies.
 func (r *run) startLoad() (stopLoad func()) {
 	options := r.options
 	ctx, stop := context.WithCancel(r.ctx)
@@ -248,7 +252,8 @@
 	}
 }
 
-// takeLoadResults sums up what became of requests since it was last called.
+// takeLoadResults returns the outcomes and latencies at all real ingresses since the last
+// call, and adds the latencies to those of the run.
 func (r *run) takeLoadResults() (sum LoadResult) {
 	latencies := newHistogram()
 	for _, generator := range r.generators {
@@ -260,8 +265,8 @@
 	return sum.withQuantiles(latencies)
 }
 
-// addLateReplies books what is answered after the last phase to that one, but for the
-// latencies, which are those of the whole run alone.
+// addLateReplies adds the replies after the last phase to its counts. Their latencies
+// count for the run only.
 func (r *run) addLateReplies() {
 	last := &r.result.Phases[len(r.result.Phases)-1].Load
 	sum := last.plus(r.takeLoadResults())
@@ -269,8 +274,8 @@
 	*last = sum
 }
 
-// runPhase plays one part of the timeline, waits until all ingresses hold what was
-// told, and books what it cost.
+// runPhase runs one phase of the timeline, waits until the ingresses have applied its
+// changes, and records its measurements.
 func (r *run) runPhase(name string, action func() error) error {
 	before, err := r.sampleControlPlanes(sampleRequest)
 	if err != nil {
@@ -301,11 +306,11 @@
 	p.Load = r.takeLoadResults()
 	r.residentMB = max(r.residentMB, float64(after.Resident)/1e6/float64(count))
 	r.result.Phases = append(r.result.Phases, p)
-	slog.Info("played", "phase", name, "seconds", formatNumber(elapsed), "last_s", formatNumber(p.LastDelay))
+	slog.Info("phase completed", "phase", name, "seconds", formatNumber(elapsed), "last_s", formatNumber(p.LastDelay))
 	return nil
 }
 
-// sampleControlPlanes adds up what the processes of ingresses without clients tell.
+// sampleControlPlanes returns the sum of the samples of all control plane processes.
 func (r *run) sampleControlPlanes(request string) (sum controlPlaneSample, err error) {
 	samples := make([]controlPlaneSample, len(r.controlPlanes))
 	errs := make([]error, len(r.controlPlanes))
@@ -326,8 +331,9 @@
 	return sum, nil
 }
 
-// awaitConvergence waits until every ingress without clients holds the last revision, and
-// returns the last sample with all lists applied since the phase began.
+// awaitConvergence waits until every control-plane-only ingress has applied the last
+// revision, and returns the last sample and all lists applied since the phase began. It
+// does not wait in a phase without changes, nor while some ingresses are partitioned.
 func (r *run) awaitConvergence(before controlPlaneSample) (last controlPlaneSample, applied []appliedList, err error) {
 	target := r.discovery.currentRevision()
 	converged := map[int]bool{}
@@ -351,7 +357,7 @@
 			return last, applied, nil
 		}
 		if time.Since(started) > convergenceTimeout {
-			return last, nil, fmt.Errorf("%d of %d ingresses hold revision %d after %v", len(converged), count, target, convergenceTimeout)
+			return last, nil, fmt.Errorf("only %d of %d ingresses applied revision %d within %v", len(converged), count, target, convergenceTimeout)
 		}
 		if err := r.sleep(convergencePollInterval); err != nil {
 			return last, nil, err
@@ -359,8 +365,9 @@
 	}
 }
 
-// convergenceDelays tell how long it took from each change until each ingress held it, in
-// seconds: the median, that of 99 in 100, and the last.
+// convergenceDelays returns the median, the 99th percentile and the maximum of the delays,
+// in seconds, from each change until each ingress applied it or a later one. Excluded
+// revisions do not count.
 func (r *run) convergenceDelays(applied []appliedList) (median, p99, last float64) {
 	byIngress := map[int][]appliedList{}
 	for _, l := range applied {
@@ -383,7 +390,7 @@
 	return delays[len(delays)/2], delays[len(delays)*99/100], delays[len(delays)-1]
 }
 
-// publish tells a change.
+// publish publishes a change and records its time.
 func (r *run) publish(members ...*membership.Member) {
 	at := time.Now().UnixMicro()
 	revision := r.discovery.publish(members...)
@@ -391,6 +398,7 @@
 	r.updatedMembers += len(members)
 }
 
+// sleep waits for a duration, or returns an error if the run is cancelled.
 func (r *run) sleep(d time.Duration) error {
 	select {
 	case <-time.After(d):
--- a/internal/scale/run_test.go
+++ b/internal/scale/run_test.go
@@ -13,7 +13,7 @@
 func TestCheckRejectsOversizedRun(t *testing.T) {
 	fits := RunOptions{Ingresses: 20, Real: 1, Backends: 200}
 	if err := fits.Check(); err != nil {
-		t.Errorf("a small run is refused: %v", err)
+		t.Errorf("a small run is rejected: %v", err)
 	}
 	for want, change := range map[string]func(*RunOptions){
 		"MB":        func(o *RunOptions) { o.Ingresses, o.Backends = 10_000, 1_000_000 },
@@ -24,17 +24,18 @@
 		o := fits
 		change(&o)
 		if err := o.Check(); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%s: the error is %v", want, err)
+			t.Errorf("the error is %[2]v, want one that mentions %[1]q", want, err)
 		}
 	}
 }
 
-// Delays count from a change until an ingress holds it or a later one.
+// A delay counts from the publication of a change until an ingress applied that change or a
+// later one. Excluded revisions do not count.
 func TestConvergenceDelaysCountFromPublication(t *testing.T) {
 	r := &run{publishedAt: map[int64]int64{2: 1_000_000, 3: 2_000_000, 4: 9_000_000}, excluded: map[int64]bool{4: true}}
 	median, p99, last := r.convergenceDelays([]appliedList{
 		{Ingress: 1, Revision: 2, At: 1_100_000}, {Ingress: 1, Revision: 3, At: 2_200_000},
-		{Ingress: 2, Revision: 3, At: 2_300_000}, // it has heard of both changes at once
+		{Ingress: 2, Revision: 3, At: 2_300_000}, // received both changes at once
 		{Ingress: 2, Revision: 4, At: 99_000_000},
 	})
 	if !almostEqual(last, 1.3) || !almostEqual(p99, 1.3) || !almostEqual(median, 0.3) {
@@ -42,7 +43,7 @@
 	}
 }
 
-// requestSample asks a process of hollow ingresses, here a goroutine, for a sample.
+// requestSample requests a sample from RunControlPlanes, which runs in a goroutine here.
 func requestSample(t *testing.T, in io.Writer, samples *json.Decoder) (sample controlPlaneSample) {
 	t.Helper()
 	if _, err := io.WriteString(in, heapSampleRequest); err != nil {
@@ -54,8 +55,8 @@
 	return sample
 }
 
-// Ingresses without clients follow discovery, tell when a list is in force, and
-// end with their input.
+// Control-plane-only ingresses follow discovery, report the lists that they have applied,
+// and end at the end of the input.
 func TestControlPlanesFollowDiscovery(t *testing.T) {
 	d, fleet := newTestDiscovery(t, 50)
 	in, requests := io.Pipe()
@@ -80,7 +81,7 @@
 			}
 		}
 		if !held[4] || !held[5] {
-			t.Errorf("ingresses %v hold revision %d, want 4 and 5", held, revision)
+			t.Errorf("ingresses %v applied revision %d, want 4 and 5", held, revision)
 		}
 	}
 	await(1)
@@ -88,19 +89,20 @@
 	await(2)
 	requests.Close()
 	if err := <-exited; err != nil {
-		t.Errorf("the end of the input ends it with %v", err)
+		t.Errorf("at the end of the input RunControlPlanes returns %v", err)
 	}
 }
 
 func TestRunControlPlanesRejectsInvalidSpec(t *testing.T) {
 	for _, text := range []string{"", "no json\n", `{"agents":["127.0.0.1:1"],"ingresses":0}` + "\n"} {
 		if err := RunControlPlanes(t.Context(), strings.NewReader(text), io.Discard); err == nil {
-			t.Errorf("%q runs", text)
+			t.Errorf("the specification %q is accepted", text)
 		}
 	}
 }
 
-// startReplyServer answers each connection's commands with the same line.
+// startReplyServer starts a server that sends the same reply to each command. With an empty
+// reply it closes the connection instead.
 func startReplyServer(t *testing.T, answer string) (address string) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -125,7 +127,7 @@
 					if line == "$5\r\n" || line == "$4\r\n" {
 						continue
 					}
-					// The parameters are the last line of one request, or a body is.
+					// The last line of a command is its body, or its parameters if it has none.
 					if strings.HasPrefix(line, "BODY") || strings.Contains(line, "c=view") {
 						io.WriteString(connection, answer)
 					}
@@ -147,16 +149,16 @@
 		generator.run(t.Context())
 		result, _ := generator.takeResult()
 		if again, _ := generator.takeResult(); again != (LoadResult{}) {
-			t.Errorf("taken again, the result is %+v", again)
+			t.Errorf("the second takeResult returns %+v, want no counts", again)
 		}
 		if result.Sent != 50 || count(result) != 50 {
-			t.Errorf("answered %q: %+v, want 50 of 50", answer, result)
+			t.Errorf("with the reply %q: %+v, want 50 of 50", answer, result)
 		}
 	}
 }
 
-// A process that is gone resets its connections and takes no new ones; the
-// others are not touched.
+// Stopping a backend resets its connections and those opened afterwards; other backends are
+// not affected.
 func TestStoppedBackendResetsConnections(t *testing.T) {
 	b, err := startBackendStub()
 	if err != nil {
@@ -181,25 +183,25 @@
 	}
 	one, other := dial(1), dial(2)
 	if err1, err2 := ask(one), ask(other); err1 != nil || err2 != nil {
-		t.Fatalf("backends that are up: %v, %v", err1, err2)
+		t.Fatalf("running backends: %v, %v", err1, err2)
 	}
 	b.setDown(true, backendAddress(1, b.port))
 	if ask(one) == nil || ask(dial(1)) == nil {
-		t.Error("a backend that is down answers")
+		t.Error("a stopped backend replies")
 	}
 	if err := ask(other); err != nil {
 		t.Errorf("another backend: %v", err)
 	}
 	b.setDown(false, backendAddress(1, b.port))
 	if err := ask(dial(1)); err != nil {
-		t.Errorf("a backend that is up again: %v", err)
+		t.Errorf("a restarted backend: %v", err)
 	}
 }
 
 func TestFiguresOverBudgetAreMarked(t *testing.T) {
 	r := RunResult{Figures: []Figure{{"fine", 1, "ms", &BudgetLatency}, {"free", 99, "ms", nil}}}
 	if r.OverBudget() || strings.Contains(r.Markdown(), "over budget") {
-		t.Error("figures inside their budgets are marked")
+		t.Error("figures within their budgets are marked")
 	}
 	r.Figures = append(r.Figures, Figure{"slow", 8, "ms", &BudgetLatency})
 	if !r.OverBudget() || !strings.Contains(r.Markdown(), "| slow | 8 | ms | 7.7 | **over budget** |") {
--- a/internal/scale/slopes.go
+++ b/internal/scale/slopes.go
@@ -13,23 +13,23 @@
 	"cedarseam/internal/membership"
 )
 
-// SlopeOptions are the sizes at which costs are measured.
+// SlopeOptions holds the sizes at which costs are measured.
 type SlopeOptions struct {
-	Backends    []int  // sizes of the fleet
-	Tenants     []int  // customers met by one ingress
-	Connections []int  // connections of clients
+	Backends    []int  // numbers of backends
+	Tenants     []int  // numbers of customers of one ingress
+	Connections []int  // numbers of client connections
 	Repeats     int    // of each measurement, at least 1
 	Ingress     string // path of the ingress program
 }
 
-// Slopes are all costs as functions of size.
+// Slopes holds all costs as functions of size.
 type Slopes struct {
 	Machine Machine `json:"machine"`
 	Repeats int     `json:"repeats"`
 	Slopes  []Slope `json:"slopes"`
 }
 
-// MeasureSlopes measures every cost at every size, as often as is asked for.
+// MeasureSlopes measures every cost at every size, options.Repeats times each.
 func MeasureSlopes(ctx context.Context, options SlopeOptions) (*Slopes, error) {
 	m := &measurement{ctx: ctx, options: options, values: map[series]map[int][]float64{}}
 	sweeps := []struct {
@@ -54,24 +54,25 @@
 					}
 				}
 			}
-			slog.Info("measured", "of", sweep.dimension, "size", size)
+			slog.Info("size measured", "of", sweep.dimension, "size", size)
 		}
 	}
 	return &Slopes{Machine: currentMachine(), Repeats: options.Repeats, Slopes: m.slopes()}, nil
 }
 
-// series names the values of one cost.
+// series identifies the values of one cost.
 type series struct{ name, dimension, unit string }
 
 // measurement collects values by cost and size.
 type measurement struct {
 	ctx       context.Context
 	options   SlopeOptions
-	dimension string // what the sizes now count
+	dimension string // what the current sizes count
 	order     []series
 	values    map[series]map[int][]float64
 }
 
+// record adds one measured value of a cost at a size.
 func (m *measurement) record(name, unit string, size int, value float64) {
 	s := series{name, m.dimension, unit}
 	if m.values[s] == nil {
@@ -81,6 +82,7 @@
 	m.values[s][size] = append(m.values[s][size], value)
 }
 
+// slopes returns the fitted costs in the order in which they were first recorded.
 func (m *measurement) slopes() (all []Slope) {
 	sizes := map[string][]int{
 		"backends": m.options.Backends, "tenants": m.options.Tenants, "connections": m.options.Connections}
@@ -95,7 +97,7 @@
 	return all
 }
 
-// measureLists measures what a list, and what changes of it, cost an ingress.
+// measureLists measures the costs of a full list, and of changes to it, for an ingress.
 func (m *measurement) measureLists(size int) error {
 	const port = 1
 	fleet := newFleet(size, port)
@@ -111,7 +113,7 @@
 		return err
 	}
 	apply := func(name string, list membership.List) error {
-		runtime.GC() // the collection of what came before is not its cost
+		runtime.GC() // earlier garbage must not be collected during the measurement
 		applied, err := control.Apply(encodeList(list))
 		if err != nil {
 			return err
@@ -125,7 +127,7 @@
 		return err
 	}
 	m.record("memory for backends", "MB", size, float64(heapInUse()-before)/1e6)
-	runtime.KeepAlive(text) // it was in use before, too
+	runtime.KeepAlive(text) // it was in use at the first heap measurement, so it must be at the second
 
 	now := time.Now().UnixMilli()
 	rack := make([]int, rackSize)
@@ -133,7 +135,9 @@
 		rack[i] = i * size / rackSize
 	}
 	quarter := numbersInZone(fleet, zones[0])
-	for i := range size / 8 { // an eighth is in one zone; a quarter fails in the measured burst
+	// A measured burst of failures took a quarter of the backends. One zone has an eighth
+	// of them, so an eighth is added from the next zone.
+	for i := range size / 8 {
 		quarter = append(quarter, (i*len(zones)+1)%size)
 	}
 	fleet.Revision++
@@ -160,10 +164,10 @@
 
 const (
 	measuredRequests = 2000
-	warmUpCustomers  = 1000 // before these, so that each is known
+	warmUpCustomers  = 1000 // each sends one request first, so that all customers are known
 )
 
-// measureRequests measures one request with its outcome by the size of the fleet.
+// measureRequests measures the time that the gateway takes for one request and its outcome.
 func (m *measurement) measureRequests(size int) error {
 	for cold, name := range []string{"a request, all warm", "a request, one cold"} {
 		gateway, recorder, err := newGateway(size, cold)
@@ -184,7 +188,8 @@
 	return nil
 }
 
-// measureTenants measures what the records of customers cost.
+// measureTenants measures the memory that the gateway's records of customers take, and the
+// longest time that the first request of a customer takes.
 func (m *measurement) measureTenants(size int) error {
 	before := heapInUse()
 	gateway, recorder, err := newGateway(100, 0)
@@ -204,8 +209,8 @@
 	return nil
 }
 
-// newGateway makes a gateway of the target's tier before so many backends, the
-// first of which are cold for the whole measurement.
+// newGateway returns a gateway of the target deployment with size backends. The first cold
+// of them stay in slow start for the whole measurement.
 func newGateway(size, cold int) (*choice.Gateway, *attemptRecorder, error) {
 	config, err := controlPlaneConfig(TargetIngresses, 0)
 	if err != nil {
@@ -225,10 +230,12 @@
 	return gateway, recorder, nil
 }
 
-// attemptRecorder is the gateway's actions: it keeps the last attempt alone.
+// attemptRecorder implements choice.Actions. It records the last attempt and ignores all
+// other actions.
 type attemptRecorder struct{ id, backend uint32 }
 
-// serveRequest tells the gateway of a request and of its answer, if it was sent on.
+// serveRequest passes a request to the gateway and, if an attempt was sent, its successful
+// outcome.
 func (a *attemptRecorder) serveRequest(gateway *choice.Gateway, now time.Duration, id uint32, customer uint64) {
 	const service = 2 * time.Millisecond
 	gateway.Request(now, choice.Request{ID: id, Customer: customer, TimeLeft: 4 * time.Second, Units: 1, SetSize: 3})
@@ -237,7 +244,7 @@
 	}
 }
 
-// Send implements choice.Actions, as do the methods below.
+// Send records an attempt.
 func (a *attemptRecorder) Send(id, backend uint32, _ time.Duration) { a.id, a.backend = id, backend }
 
 // Refuse does nothing.
@@ -255,13 +262,14 @@
 // SetTimer does nothing.
 func (a *attemptRecorder) SetTimer(time.Duration, uint64) {}
 
-// controlPlaneConfig is the configuration of an ingress of the target's deployment.
+// controlPlaneConfig returns the configuration of one ingress of a deployment with the given
+// number of ingresses.
 func controlPlaneConfig(ingresses, self int) (ingress.Config, error) {
 	return ingress.ParseConfig(fmt.Appendf(nil, `{"name":"i%d","seed":"%x","settings":%s}`, self, self+1, settingsJSON(ingresses, self)))
 }
 
-// heapInUse is what is in use after a collection, and another one for what the first
-// only took out of pools.
+// heapInUse returns the bytes in use after two garbage collections: the first only clears
+// the pools (sync.Pool), and the second frees what they held.
 func heapInUse() int64 {
 	runtime.GC()
 	runtime.GC()
@@ -270,8 +278,9 @@
 	return int64(stats.HeapAlloc + stats.StackInuse)
 }
 
-// measureConfigReload measures how long a running ingress takes to read its
-// measureConfigReload again, rests included. The list of backends in it is passed over.
+// measureConfigReload measures how long a running ingress takes to reload its configuration,
+// including the pauses that it makes in favour of requests. The reload skips the list of
+// backends in the configuration.
 func (m *measurement) measureConfigReload(size int) error {
 	fleet := newFleet(size, 1)
 	text, err := configJSON(ingressSpec{name: "i0", ingresses: TargetIngresses, discovery: "127.0.0.1:1", knownList: &fleet}, "127.0.0.1:2")
--- a/internal/scale/slopes_process.go
+++ b/internal/scale/slopes_process.go
@@ -6,8 +6,8 @@
 	"cedarseam/internal/membership"
 )
 
-// measureStart measures how long an ingress process takes to be ready, by the size of
-// the list that its configuration and discovery tell.
+// measureStart measures how long an ingress process takes to accept clients, and its memory
+// then, with and without a last-known-good list in its configuration.
 func (m *measurement) measureStart(size int) error {
 	fleet := newFleet(size, 1)
 	discovery, err := startDiscoveryStub(fleet, 0)
@@ -38,7 +38,7 @@
 	return nil
 }
 
-// measureConnections measures the memory that idle measureConnections of clients take.
+// measureConnections measures the memory that idle client connections take.
 func (m *measurement) measureConnections(size int) error {
 	fleet := newFleet(100, 1)
 	discovery, err := startDiscoveryStub(fleet, 0)
@@ -74,6 +74,6 @@
 	return nil
 }
 
-// socketsPerConnection leaves room: clients may hold half of an ingress's
-// sockets, and near that it closes idle ones.
+// socketsPerConnection sets the socket limit of the ingress high enough for all connections:
+// clients may hold half of the sockets, and near that bound the ingress closes idle ones.
 const socketsPerConnection = 4
--- a/internal/scale/target.go
+++ b/internal/scale/target.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// The size for which the fleet is planned, and what it may cost there.
+// The size of the target deployment, for which capacity is planned.
 const (
 	TargetIngresses      = 810
 	TargetBackends       = 12_000
@@ -14,14 +14,14 @@
 	TargetZonesPerRegion = 4
 )
 
-// Budget bounds one figure.
+// Budget is the upper bound of a figure.
 type Budget struct {
 	Name string  `json:"name"`
 	Max  float64 `json:"most"`
 	Unit string  `json:"unit"`
 }
 
-// The budgets of the target size.
+// The budgets at the size of the target deployment.
 var (
 	BudgetLatency     = Budget{"time added to 99 in 100 requests", 7.7, "ms"}
 	BudgetConvergence = Budget{"time until a change is in force everywhere", 9, "s"}
@@ -31,7 +31,7 @@
 	BudgetUnanswered  = Budget{"requests left unanswered", 0, "requests"}
 )
 
-// Figure is a measured value, with the budget that it must keep if there is one.
+// Figure is a measured value. Budget is nil if the value has no bound.
 type Figure struct {
 	Name   string  `json:"name"`
 	Value  float64 `json:"value"`
@@ -39,10 +39,10 @@
 	Budget *Budget `json:"budget,omitempty"`
 }
 
-// OverBudget tells whether the figure breaks its budget.
+// OverBudget reports whether the figure exceeds its budget.
 func (f Figure) OverBudget() bool { return f.Budget != nil && f.Value > f.Budget.Max }
 
-// anyOverBudget tells whether one of the figures breaks its budget.
+// anyOverBudget reports whether any of the figures exceeds its budget.
 func anyOverBudget(figures []Figure) bool { return slices.ContainsFunc(figures, Figure.OverBudget) }
 
 func milliseconds(d time.Duration) float64 { return d.Seconds() * 1e3 }
--- a/internal/scale/timeline.go
+++ b/internal/scale/timeline.go
@@ -8,14 +8,15 @@
 	"cedarseam/internal/membership"
 )
 
-// release replaces a part of the backends, a step at a time: some drain, and at
-// the next step they are gone and new ones are there, under new ids.
+// release replaces a share of the backends, as a rolling release does.
 func (r *run) release() error {
 	count := int(r.options.Replaced * float64(r.options.Backends))
 	return r.replaceBackends(0, count, releaseSteps, r.options.Release)
 }
 
-// replaceBackends replaces so many backends from a number on.
+// replaceBackends replaces count backends from the number first on, step by step: some
+// backends drain, and at the next step they are deleted and their replacements, with new
+// ids, are serving.
 func (r *run) replaceBackends(first, count, steps int, length time.Duration) error {
 	var draining []int
 	for step := range steps + 1 {
@@ -38,7 +39,8 @@
 	return nil
 }
 
-// replaceBackend replaces one backend by another at the same address and returns both lines.
+// replaceBackend replaces a backend by a new one at the same address, and returns the
+// updates of both.
 func (r *run) replaceBackend(number int) []*membership.Member {
 	previous := r.fleet.Members[number]
 	next := newMember(number, generationOf(previous)+1, r.backends.port, time.Now().UnixMilli())
@@ -46,31 +48,31 @@
 	return []*membership.Member{withPhase(previous, membership.PhaseDeleted, previous.UpSince), next}
 }
 
-// setPhase gives a backend a phase and a start, and returns its new line.
+// setPhase gives a backend another phase and start time, and returns its update.
 func (r *run) setPhase(number int, phase string, upSince int64) *membership.Member {
 	changed := withPhase(r.fleet.Members[number], phase, upSince)
 	r.fleet.Members[number] = changed
 	return changed
 }
 
-// generationOf tells how often a backend was replaced, modulo what an id holds.
+// generationOf returns how often a backend was replaced, modulo 256.
 func generationOf(member *membership.Member) int {
 	generation, err := strconv.ParseUint(member.ID[generationOffset:], 16, 8)
 	if err != nil {
-		panic(err) // newMember has written it
+		panic(err) // newMember writes valid ids only
 	}
 	return int(generation)
 }
 
-// failZone takes all backends of one zone away at once.
+// failZone stops and deletes all backends of one zone at once.
 func (r *run) failZone() error { return r.setZonePhase(membership.PhaseDeleted, 0) }
 
-// restoreZone starts the backends of that zone again, all at once.
+// restoreZone starts all backends of the failed zone at once.
 func (r *run) restoreZone() error {
 	return r.setZonePhase(membership.PhaseServing, time.Now().UnixMilli())
 }
 
-// setZonePhase gives all backends of one zone a phase and a start.
+// setZonePhase gives all backends of one zone another phase and start time.
 func (r *run) setZonePhase(phase string, upSince int64) error {
 	var addresses []string
 	var changes []*membership.Member
@@ -84,7 +86,7 @@
 	return r.sleep(r.options.Zone / 2)
 }
 
-// evenAgents are the agents of every other ingress.
+// evenAgents returns the agents of every second ingress.
 func (r *run) evenAgents() (agents []int) {
 	for agent := 0; agent < r.options.Ingresses; agent += 2 {
 		agents = append(agents, agent)
@@ -92,8 +94,8 @@
 	return agents
 }
 
-// partitionHalf lets discovery be silent towards half of the ingresses, while a
-// replacement goes on that the others hear of.
+// partitionHalf partitions half of the ingresses from discovery during a replacement that
+// the others receive. The delays of its changes are excluded from the measurement.
 func (r *run) partitionHalf() error {
 	r.discovery.setPartitioned(true, r.evenAgents()...)
 	count := int(r.options.Replaced * float64(r.options.Backends) / 2)
@@ -105,7 +107,7 @@
 	return err
 }
 
-// reconnect lets discovery speak to all again, with one change more.
+// reconnect ends the partition and publishes one more change.
 func (r *run) reconnect() error {
 	first := r.fleet.Members[0]
 	r.discovery.setPartitioned(false, r.evenAgents()...)
@@ -113,7 +115,7 @@
 	return r.sleep(r.options.Quiet)
 }
 
-// computeFigures holds the figures against their budgets.
+// computeFigures computes the figures of the run from the results of its phases.
 func (r *run) computeFigures() {
 	result := r.result
 	var load LoadResult
