--- a/internal/scale/fleet.go
+++ b/internal/scale/fleet.go
@@ -90,10 +90,10 @@
 	return line
 }
 
-// settingsJSON returns the settings of the ingress with the index self, in the form of
+// settingsJSON returns the settings of the ingress with the given index, in the form of
 // an ingress's configuration.
-func settingsJSON(ingresses, self int) string {
-	return fmt.Sprintf(strings.Join(strings.Fields(settingsTemplate), ""), ingresses, self, quotedList(zones), flavor)
+func settingsJSON(ingresses, index int) string {
+	return fmt.Sprintf(strings.Join(strings.Fields(settingsTemplate), ""), ingresses, index, quotedList(zones), flavor)
 }
 
 // quotedList returns the names as the elements of a JSON array.
--- a/internal/scale/run_test.go
+++ b/internal/scale/run_test.go
@@ -165,7 +165,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(b.close)
-	ask := func(connection net.Conn) error {
+	sendPing := func(connection net.Conn) error {
 		connection.SetDeadline(time.Now().Add(testTimeout))
 		if _, err := io.WriteString(connection, "*1\r\n$4\r\nPING\r\n"); err != nil {
 			return err
@@ -181,19 +181,19 @@
 		t.Cleanup(func() { connection.Close() })
 		return connection
 	}
-	one, other := dial(1), dial(2)
-	if err1, err2 := ask(one), ask(other); err1 != nil || err2 != nil {
+	stopped, running := dial(1), dial(2)
+	if err1, err2 := sendPing(stopped), sendPing(running); err1 != nil || err2 != nil {
 		t.Fatalf("running backends: %v, %v", err1, err2)
 	}
 	b.setDown(true, backendAddress(1, b.port))
-	if ask(one) == nil || ask(dial(1)) == nil {
+	if sendPing(stopped) == nil || sendPing(dial(1)) == nil {
 		t.Error("a stopped backend replies")
 	}
-	if err := ask(other); err != nil {
+	if err := sendPing(running); err != nil {
 		t.Errorf("another backend: %v", err)
 	}
 	b.setDown(false, backendAddress(1, b.port))
-	if err := ask(dial(1)); err != nil {
+	if err := sendPing(dial(1)); err != nil {
 		t.Errorf("a restarted backend: %v", err)
 	}
 }
--- a/internal/scale/slopes.go
+++ b/internal/scale/slopes.go
@@ -135,7 +135,7 @@
 		rack[i] = i * size / rackSize
 	}
 	quarter := numbersInZone(fleet, zones[0])
-	// A measured burst of failures took a quarter of the backends. One zone has an eighth
+	// Bursts of failures have taken a quarter of the backends. One zone has an eighth
 	// of them, so an eighth is added from the next zone.
 	for i := range size / 8 {
 		quarter = append(quarter, (i*len(zones)+1)%size)
@@ -264,8 +264,8 @@
 
 // controlPlaneConfig returns the configuration of one ingress of a deployment with the given
 // number of ingresses.
-func controlPlaneConfig(ingresses, self int) (ingress.Config, error) {
-	return ingress.ParseConfig(fmt.Appendf(nil, `{"name":"i%d","seed":"%x","settings":%s}`, self, self+1, settingsJSON(ingresses, self)))
+func controlPlaneConfig(ingresses, index int) (ingress.Config, error) {
+	return ingress.ParseConfig(fmt.Appendf(nil, `{"name":"i%d","seed":"%x","settings":%s}`, index, index+1, settingsJSON(ingresses, index)))
 }
 
 // heapInUse returns the bytes in use after two garbage collections: the first only clears
