--- a/cmd/scale/main.go
+++ b/cmd/scale/main.go
@@ -40,7 +40,7 @@
 	Logs string `help:"Least level of the log lines on standard error." enum:"debug,info,warn,error" default:"info"`
 }
 
-// configureLogging sends configureLogging lines of the level asked for, or of a higher one, to w.
+// configureLogging makes the default logger write lines of at least the requested level to w.
 func (c *commands) configureLogging(w io.Writer) error {
 	var level slog.Level
 	if err := level.UnmarshalText([]byte(c.Logs)); err != nil {
@@ -81,7 +81,7 @@
 	minSizes   = 2 // a fit needs two points
 	maxSize    = 100_000
 	maxRepeats = 100
-	minSize    = 80 // two racks
+	minSize    = 80 // two racks of 40 backends
 )
 
 // Validate returns an error if a flag has an invalid value. It is called by kong.
--- a/internal/scale/load.go
+++ b/internal/scale/load.go
@@ -59,7 +59,7 @@
 	command []byte
 }
 
-// newLoadGenerator returns a load generator that run starts.
+// newLoadGenerator returns a load generator that has not started yet.
 func newLoadGenerator(options loadOptions) *loadGenerator {
 	return &loadGenerator{options: options, due: make(chan scheduledRequest, options.maxRequests()), latencies: newHistogram()}
 }
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -43,7 +43,7 @@
 	// memoryPerBackend is the bytes per backend at each ingress: 850 in use, and the garbage
 	// that controlPlaneGCPercent allows.
 	memoryPerBackend = 1110
-	memoryDivisor    = 2 // a run may need one part in this many of the machine's memory
+	memoryDivisor    = 2 // a run may need at most 1/memoryDivisor of the machine's memory
 	maxProcesses     = 300
 )
 
--- a/internal/scale/slopes.go
+++ b/internal/scale/slopes.go
@@ -127,7 +127,7 @@
 		return err
 	}
 	m.record("memory for backends", "MB", size, float64(heapInUse()-before)/1e6)
-	runtime.KeepAlive(text) // it was in use at the first heap measurement, so it must be at the second
+	runtime.KeepAlive(text) // both heap measurements must include it
 
 	now := time.Now().UnixMilli()
 	rack := make([]int, rackSize)
