--- a/cmd/scale/main.go
+++ b/cmd/scale/main.go
@@ -1,4 +1,4 @@
-// Command scale measures what an ingress costs at sizes beyond today's fleets.
+// Command scale measures the costs of an ingress at deployment sizes beyond today's.
 package main
 
 import (
@@ -22,15 +22,15 @@
 
 // The exit codes.
 const (
-	exitDone       = 0
-	exitOverBudget = 1
-	exitUnusable   = 2 // bad flags, or what the run needs is missing
+	exitOK         = 0
+	exitOverBudget = 1 // a figure exceeds its budget
+	exitError      = 2 // invalid flags, or the measurement failed
 )
 
-// errOverBudget tells that a figure breaks its budget.
-var errOverBudget = errors.New("a figure is over its budget")
+// errOverBudget is returned by commands that measured a figure over its budget.
+var errOverBudget = errors.New("at least one figure exceeds its budget")
 
-// commands are the flags of all commands.
+// commands defines the commands and their flags.
 type commands struct {
 	Slopes slopesCommand `cmd:"" help:"Measure each cost at several sizes and fit its growth."`
 	Run    runCommand    `cmd:"" help:"Play one timeline of troubles against many ingresses."`
@@ -40,8 +40,8 @@
 	Logs string `help:"Least level of the log lines on standard error." enum:"debug,info,warn,error" default:"info"`
 }
 
-// log sends log lines of the level asked for, or of a higher one, to w.
-func (c *commands) log(w io.Writer) error {
+// configureLogging makes the default logger write lines of at least the requested level to w.
+func (c *commands) configureLogging(w io.Writer) error {
 	var level slog.Level
 	if err := level.UnmarshalText([]byte(c.Logs)); err != nil {
 		return err
@@ -50,12 +50,12 @@
 	return nil
 }
 
-// output is where results go.
+// output holds the flags for results.
 type output struct {
 	JSON string `help:"File for the results as JSON." type:"path"`
 }
 
-// write prints the table and writes the file, if one is asked for.
+// write prints the table, and writes the results to the JSON file if one is set.
 func (o output) write(w io.Writer, table string, results any) error {
 	fmt.Fprint(w, table)
 	if o.JSON == "" {
@@ -78,29 +78,29 @@
 }
 
 const (
-	sizesLeast   = 2 // a slope needs
-	largestSize  = 100_000
-	mostRepeats  = 100
-	smallestSize = 80 // room for two racks
+	minSizes   = 2 // a fit needs two points
+	maxSize    = 100_000
+	maxRepeats = 100
+	minSize    = 80 // two racks of 40 backends
 )
 
-// Validate tells what of the flags can't be used.
+// Validate returns an error if a flag has an invalid value. It is called by kong.
 func (c *slopesCommand) Validate() error {
 	for _, sizes := range [][]int{c.Backends, c.Tenants, c.Connections} {
-		if len(sizes) < sizesLeast {
-			return fmt.Errorf("%v: a slope needs %d sizes at least", sizes, sizesLeast)
+		if len(sizes) < minSizes {
+			return fmt.Errorf("%v: a slope needs at least %d sizes", sizes, minSizes)
 		}
-		if least, most := slices.Min(sizes), slices.Max(sizes); least < smallestSize || most > largestSize {
-			return fmt.Errorf("%v: sizes are from %d to %d", sizes, smallestSize, largestSize)
+		if smallest, largest := slices.Min(sizes), slices.Max(sizes); smallest < minSize || largest > maxSize {
+			return fmt.Errorf("%v: sizes must be from %d to %d", sizes, minSize, maxSize)
 		}
 	}
-	if c.Repeats < 1 || c.Repeats > mostRepeats {
-		return fmt.Errorf("--repeats is from 1 to %d", mostRepeats)
+	if c.Repeats < 1 || c.Repeats > maxRepeats {
+		return fmt.Errorf("--repeats must be from 1 to %d", maxRepeats)
 	}
 	return nil
 }
 
-// Run measures the slopes.
+// Run measures the slopes and writes them.
 func (c *slopesCommand) Run(ctx context.Context, stdout io.Writer) error {
 	slopes, err := scale.MeasureSlopes(ctx, scale.SlopeOptions{
 		Backends: c.Backends, Tenants: c.Tenants, Connections: c.Connections, Repeats: c.Repeats, Ingress: c.Ingress})
@@ -127,9 +127,9 @@
 }
 
 const (
-	mostIngresses = 5000
-	mostRate      = 2000
-	longestPart   = 10 * time.Minute
+	maxIngresses     = 5000
+	maxRate          = 2000
+	maxPhaseDuration = 10 * time.Minute
 )
 
 func (c *runCommand) options() scale.RunOptions {
@@ -137,27 +137,28 @@
 		Ingress: c.Ingress, Quiet: c.Quiet, Release: c.Release, Replaced: c.Replaced, Zone: c.Zone, Cut: c.Cut}
 }
 
-// Validate tells what of the flags can't be used.
+// Validate returns an error if a flag has an invalid value. It is called by kong.
 func (c *runCommand) Validate() error {
 	switch {
-	case c.Ingresses < 2 || c.Ingresses > mostIngresses:
-		return fmt.Errorf("--ingresses is from 2 to %d", mostIngresses)
-	case c.Backends < smallestSize || c.Backends > largestSize:
-		return fmt.Errorf("--backends is from %d to %d", smallestSize, largestSize)
-	case !(c.Rate > 0) || c.Rate > mostRate:
-		return fmt.Errorf("--rate is above 0 and at most %d", mostRate)
+	case c.Ingresses < 2 || c.Ingresses > maxIngresses:
+		return fmt.Errorf("--ingresses must be from 2 to %d", maxIngresses)
+	case c.Backends < minSize || c.Backends > maxSize:
+		return fmt.Errorf("--backends must be from %d to %d", minSize, maxSize)
+	case !(c.Rate > 0) || c.Rate > maxRate:
+		return fmt.Errorf("--rate must be above 0 and at most %d", maxRate)
 	case !(c.Replaced > 0) || c.Replaced > 1:
-		return errors.New("--replaced is above 0 and at most 1")
+		return errors.New("--replaced must be above 0 and at most 1")
 	}
-	for _, length := range []time.Duration{c.Quiet, c.Release, c.Zone, c.Cut} {
-		if length < 0 || length > longestPart {
-			return fmt.Errorf("a part of the timeline lasts from 0 to %v", longestPart)
+	for _, duration := range []time.Duration{c.Quiet, c.Release, c.Zone, c.Cut} {
+		if duration < 0 || duration > maxPhaseDuration {
+			return fmt.Errorf("--quiet, --release, --zone and --cut must be from 0 to %v", maxPhaseDuration)
 		}
 	}
 	return nil
 }
 
-// Run plays the timeline.
+// Run runs the timeline. It returns errOverBudget if the budgets are enforced and a figure
+// exceeds its budget.
 func (c *runCommand) Run(ctx context.Context, stdout io.Writer) error {
 	options := c.options()
 	var err error
@@ -171,7 +172,7 @@
 	if err := c.write(stdout, result.Markdown(), result); err != nil {
 		return err
 	}
-	if result.Over() && c.Budgets == "enforce" {
+	if result.OverBudget() && c.Budgets == "enforce" {
 		return errOverBudget
 	}
 	return nil
@@ -183,15 +184,15 @@
 	output
 }
 
-// Validate tells what of the flags can't be used.
+// Validate returns an error if a flag has an invalid value. It is called by kong.
 func (c *listCommand) Validate() error {
-	if c.Repeats < 1 || c.Repeats > mostRepeats {
-		return fmt.Errorf("--repeats is from 1 to %d", mostRepeats)
+	if c.Repeats < 1 || c.Repeats > maxRepeats {
+		return fmt.Errorf("--repeats must be from 1 to %d", maxRepeats)
 	}
 	return nil
 }
 
-// Run measures the list.
+// Run measures the list. It returns errOverBudget if a figure exceeds its budget.
 func (c *listCommand) Run(stdout io.Writer) error {
 	cost, err := scale.MeasureList(c.File, c.Repeats)
 	if err != nil {
@@ -200,7 +201,7 @@
 	if err := c.write(stdout, cost.Markdown(), cost); err != nil {
 		return err
 	}
-	if cost.Over() {
+	if cost.OverBudget() {
 		return errOverBudget
 	}
 	return nil
@@ -208,55 +209,55 @@
 
 type hollowCommand struct{}
 
-// Run runs the ingresses that the standard input specifies.
+// Run runs the control-plane-only ingresses that the standard input specifies.
 func (hollowCommand) Run(ctx context.Context, stdout io.Writer) error {
-	return scale.RunHollow(ctx, os.Stdin, stdout)
+	return scale.RunControlPlanes(ctx, os.Stdin, stdout)
 }
 
 func main() {
 	os.Exit(run(os.Args[1:], os.Stdout, os.Stderr))
 }
 
-// run carries a command out and returns the exit code.
+// run parses the arguments, runs the command and returns the exit code.
 func run(arguments []string, stdout, stderr io.Writer) (code int) {
-	var all commands
-	parser, err := kong.New(&all, kong.Name("scale"), kong.Writers(stdout, stderr),
+	var flags commands
+	parser, err := kong.New(&flags, kong.Name("scale"), kong.Writers(stdout, stderr),
 		kong.Description("Measures what an ingress costs at sizes beyond today's fleets."),
 		kong.Vars{"ingresses": strconv.Itoa(scale.TargetIngresses), "backends": strconv.Itoa(scale.TargetBackends)},
-		kong.Exit(func(status int) { panic(exited(status)) }))
+		kong.Exit(func(status int) { panic(exitStatus(status)) }))
 	if err != nil {
 		fmt.Fprintln(stderr, "scale:", err)
-		return exitUnusable
+		return exitError
 	}
-	// The help ends the program inside of the parser.
+	// --help calls kong.Exit inside of the parser.
 	defer func() {
-		if status, ok := recover().(exited); ok {
+		if status, ok := recover().(exitStatus); ok {
 			code = int(status)
 		}
 	}()
-	parsed, err := parser.Parse(arguments)
+	selected, err := parser.Parse(arguments)
 	if err != nil {
 		fmt.Fprintln(stderr, "scale:", err)
-		return exitUnusable
+		return exitError
 	}
-	if err := all.log(stderr); err != nil {
+	if err := flags.configureLogging(stderr); err != nil {
 		fmt.Fprintln(stderr, "scale:", err)
-		return exitUnusable
+		return exitError
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
-	parsed.BindTo(ctx, (*context.Context)(nil))
-	parsed.BindTo(stdout, (*io.Writer)(nil))
-	switch err := parsed.Run(); {
+	selected.BindTo(ctx, (*context.Context)(nil))
+	selected.BindTo(stdout, (*io.Writer)(nil))
+	switch err := selected.Run(); {
 	case errors.Is(err, errOverBudget):
 		fmt.Fprintln(stderr, "scale:", err)
 		return exitOverBudget
 	case err != nil:
 		fmt.Fprintln(stderr, "scale:", err)
-		return exitUnusable
+		return exitError
 	}
-	return exitDone
+	return exitOK
 }
 
-// exited is the status with which the parser ends the program.
-type exited int
+// exitStatus is the panic value that carries the status of kong.Exit to run.
+type exitStatus int
--- a/internal/scale/backends.go
+++ b/internal/scale/backends.go
@@ -8,32 +8,34 @@
 	"github.com/tidwall/redcon"
 )
 
-// backends is a stand-in for all backends: one listener serves the address of
-// each. A request is answered at once, so that its time is what the ingress adds.
-type backends struct {
+// backendStub simulates all backends: one listener serves the addresses of all of
+// them. It replies to each request immediately, so that the latency that a client
+// sees is what the ingress adds.
+type backendStub struct {
 	listener net.Listener
 	port     int
 
 	mu    sync.Mutex
-	down  map[string]bool // addresses whose process is gone
+	down  map[string]bool // addresses of stopped backends
 	conns map[net.Conn]struct{}
 }
 
-// usedOfQuota is what every answer tells of its customer's use, in percent and 1 more.
-const usedOfQuota = "used=31"
+// quotaUseReport is the report field of every reply: the customer's use of its quota
+// in percent.
+const quotaUseReport = "used=31"
 
-// startBackends serves all addresses of backends at one port.
-func startBackends() (*backends, error) {
+// startBackendStub starts serving the addresses of all backends on one port.
+func startBackendStub() (*backendStub, error) {
 	listener, port, err := listenOnLoopback(0)
 	if err != nil {
 		return nil, err
 	}
-	b := &backends{listener: listener, port: port, down: map[string]bool{}, conns: map[net.Conn]struct{}{}}
+	b := &backendStub{listener: listener, port: port, down: map[string]bool{}, conns: map[net.Conn]struct{}{}}
 	go b.accept()
 	return b, nil
 }
 
-func (b *backends) accept() {
+func (b *backendStub) accept() {
 	for {
 		connection, err := b.listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
@@ -45,8 +47,9 @@
 	}
 }
 
-// add takes a connection in, or resets it if its backend is gone.
-func (b *backends) add(connection net.Conn) bool {
+// add registers a connection and returns true. It resets the connection and returns
+// false if the backend at its address is stopped.
+func (b *backendStub) add(connection net.Conn) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.down[connection.LocalAddr().String()] {
@@ -57,8 +60,8 @@
 	return true
 }
 
-// serve answers each command until the connection ends.
-func (b *backends) serve(connection net.Conn) {
+// serve replies to each command until the connection ends.
+func (b *backendStub) serve(connection net.Conn) {
 	defer func() {
 		connection.Close()
 		b.mu.Lock()
@@ -70,19 +73,19 @@
 		if _, err := commands.ReadCommand(); err != nil {
 			return
 		}
-		answer := redcon.AppendArray(nil, 3)
-		answer = redcon.AppendBulkString(answer, "value")
-		answer = redcon.AppendBulkString(answer, usedOfQuota)
-		answer = redcon.AppendNull(answer)
-		if _, err := connection.Write(answer); err != nil {
+		reply := redcon.AppendArray(nil, 3)
+		reply = redcon.AppendBulkString(reply, "value")
+		reply = redcon.AppendBulkString(reply, quotaUseReport)
+		reply = redcon.AppendNull(reply)
+		if _, err := connection.Write(reply); err != nil {
 			return
 		}
 	}
 }
 
-// setDown ends the processes at addresses, or starts them again. The end of a
-// process resets its connections.
-func (b *backends) setDown(down bool, addresses ...string) {
+// setDown stops the backends at the given addresses, or starts them again. Stopping
+// a backend resets its connections.
+func (b *backendStub) setDown(down bool, addresses ...string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, address := range addresses {
@@ -99,7 +102,7 @@
 	}
 }
 
-func (b *backends) close() {
+func (b *backendStub) close() {
 	b.listener.Close()
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -108,7 +111,7 @@
 	}
 }
 
-// reset ends a connection as the death of its process does.
+// reset closes a connection with a TCP reset, as the death of a backend's process does.
 func reset(connection net.Conn) {
 	if tcp, ok := connection.(*net.TCPConn); ok {
 		tcp.SetLinger(0)
--- a/internal/scale/hollow.go
+++ b/internal/scale/hollow.go
@@ -17,114 +17,116 @@
 	"cedarseam/internal/ingress"
 )
 
-// HollowSpec tells a process which ingresses it runs: each follows discovery and
-// keeps the gateway's state, without clients.
-type HollowSpec struct {
-	Ingresses int      `json:"ingresses"` // of the whole tier
-	First     int      `json:"first"`     // number of the first one here
-	Agents    []string `json:"agents"`    // where each one's discovery is
+// ControlPlaneSpec specifies the control-plane-only ingresses that one process runs.
+// They follow discovery and keep the gateway's state, but serve no clients.
+type ControlPlaneSpec struct {
+	Ingresses int      `json:"ingresses"` // in the whole deployment
+	First     int      `json:"first"`     // number of the first ingress of the process
+	Agents    []string `json:"agents"`    // discovery address of each ingress of the process
 }
 
-// hollowSample is what such a process answers to each line that it reads.
-type hollowSample struct {
-	Processor time.Duration `json:"processor"` // used so far
-	Resident  int64         `json:"resident"`  // bytes in memory
-	Heap      int64         `json:"heap"`      // bytes of it in use, if that was asked for
-	Applied   []appliedList `json:"applied"`   // since the last sample
+// controlPlaneSample is the reply of a control plane process to a sample request.
+type controlPlaneSample struct {
+	CPUTime  time.Duration `json:"processor"` // since the process started
+	Resident int64         `json:"resident"`  // bytes of resident memory
+	Heap     int64         `json:"heap"`      // bytes in use, 0 if not requested
+	Applied  []appliedList `json:"applied"`   // since the last sample
 }
 
-// appliedList tells when an ingress had a list in force.
+// appliedList records when an ingress finished applying a list.
 type appliedList struct {
 	Ingress  int   `json:"i"`
 	Revision int64 `json:"r"`
 	At       int64 `json:"at"` // Unix time in microseconds
 }
 
-// hollowGarbage is the share of garbage, in percent of what is in use, that such
-// a process may hold: many ingresses share the machine.
-const hollowGarbage = 30
+// controlPlaneGCPercent is the garbage collection target (GOGC) of a control plane
+// process. It is below the default because many ingresses share the machine's memory.
+const controlPlaneGCPercent = 30
 
-// The questions that such a process answers with a sample, each on a line.
+// The requests to a control plane process, each of which is answered with a sample.
 const (
-	askSample = "sample\n"
-	askHeap   = "heap\n" // the same, after a collection
+	sampleRequest     = "sample\n"
+	heapSampleRequest = "heap\n" // sample after a garbage collection, with Heap set
 )
 
-// RunHollow runs the ingresses of the specification that stands on the first
-// line of the input. It answers every further line with a sample, and ends with
-// the input.
-func RunHollow(ctx context.Context, in io.Reader, out io.Writer) error {
-	debug.SetGCPercent(hollowGarbage)
+// RunControlPlanes runs the ingresses of the JSON specification on the first line of in.
+// It writes a JSON sample to out for each further line and returns at the end of in.
+func RunControlPlanes(ctx context.Context, in io.Reader, out io.Writer) error {
+	debug.SetGCPercent(controlPlaneGCPercent)
 	lines := bufio.NewReader(in)
-	first, err := lines.ReadBytes('\n')
+	specLine, err := lines.ReadBytes('\n')
 	if err != nil {
-		return fmt.Errorf("hollow: specification: %w", err)
+		return fmt.Errorf("hollow: read specification: %w", err)
 	}
-	var spec HollowSpec
-	if err := json.Unmarshal(first, &spec); err != nil {
-		return fmt.Errorf("hollow: specification: %w", err)
+	var spec ControlPlaneSpec
+	if err := json.Unmarshal(specLine, &spec); err != nil {
+		return fmt.Errorf("hollow: decode specification: %w", err)
 	}
 	ctx, stop := context.WithCancel(ctx)
-	var running sync.WaitGroup
-	defer running.Wait()
+	var workers sync.WaitGroup
+	defer workers.Wait()
 	defer stop()
 	log := &appliedLog{}
 	for i, agent := range spec.Agents {
 		number := spec.First + i
-		cfg, err := controlConfig(spec.Ingresses, number)
+		config, err := controlPlaneConfig(spec.Ingresses, number)
 		if err != nil {
 			return err
 		}
-		cfg.Discovery = agent
-		control, err := ingress.NewControl(cfg, func(revision int64) { log.add(number, revision) })
+		config.Discovery = agent
+		control, err := ingress.NewControl(config, func(revision int64) { log.add(number, revision) })
 		if err != nil {
 			return err
 		}
-		running.Go(func() { control.Run(ctx) })
+		workers.Go(func() { control.Run(ctx) })
 	}
-	samples := json.NewEncoder(out)
+	encoder := json.NewEncoder(out)
 	for {
-		question, err := lines.ReadString('\n')
+		request, err := lines.ReadString('\n')
 		if errors.Is(err, io.EOF) {
 			return nil
 		} else if err != nil {
 			return err
 		}
-		sample, err := takeSample(log, question == askHeap)
+		sample, err := takeSample(log, request == heapSampleRequest)
 		if err != nil {
 			return err
 		}
-		if err := samples.Encode(sample); err != nil {
+		if err := encoder.Encode(sample); err != nil {
 			return err
 		}
 	}
 }
 
-func takeSample(log *appliedLog, collect bool) (hollowSample, error) {
+// takeSample measures this process. If collectGarbage is set, the garbage is collected
+// and the memory in use is part of the sample.
+func takeSample(log *appliedLog, collectGarbage bool) (controlPlaneSample, error) {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
-		return hollowSample{}, err
+		return controlPlaneSample{}, err
 	}
-	used := time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
+	cpuTime := time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 	resident, err := residentMemory(os.Getpid())
 	if err != nil {
-		return hollowSample{}, err
+		return controlPlaneSample{}, err
 	}
-	sample := hollowSample{Processor: used, Resident: resident, Applied: log.take()}
-	if collect {
-		sample.Heap = heap()
+	sample := controlPlaneSample{CPUTime: cpuTime, Resident: resident, Applied: log.take()}
+	if collectGarbage {
+		sample.Heap = heapInUse()
 	}
 	return sample, nil
 }
 
-// appliedLog keeps which lists were in force when.
+// appliedLog collects the lists that ingresses have applied since the last take.
 type appliedLog struct {
 	mu    sync.Mutex
 	lists []appliedList
-	last  map[int]int64 // revision by ingress
+	last  map[int]int64 // last applied revision by ingress
 }
 
-// add notes a list, unless its revision is in force already.
+// add records that an ingress has applied a revision, unless the ingress applied the
+// same revision last.
 func (l *appliedLog) add(ingress int, revision int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -137,6 +139,7 @@
 	}
 }
 
+// take returns the collected lists and empties the log.
 func (l *appliedLog) take() []appliedList {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -145,52 +148,55 @@
 	return lists
 }
 
-// hollow is such a process, seen from the one that started it.
-type hollow struct {
+// controlPlaneProcess is a child process that runs control-plane-only ingresses.
+type controlPlaneProcess struct {
 	command *exec.Cmd
 	in      io.WriteCloser
 	samples *json.Decoder
 }
 
-// startHollow starts a process of the program given, which is this one.
-func startHollow(ctx context.Context, program string, spec HollowSpec) (*hollow, error) {
-	h := &hollow{command: exec.CommandContext(ctx, program, "--logs", "error", "hollow")}
-	h.command.Stderr = os.Stderr
-	h.command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
+// startControlPlaneProcess starts the program, which must be this one, as a control plane
+// process.
+func startControlPlaneProcess(ctx context.Context, program string, spec ControlPlaneSpec) (*controlPlaneProcess, error) {
+	process := &controlPlaneProcess{command: exec.CommandContext(ctx, program, "--logs", "error", "hollow")}
+	process.command.Stderr = os.Stderr
+	process.command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	var err error
-	if h.in, err = h.command.StdinPipe(); err != nil {
+	if process.in, err = process.command.StdinPipe(); err != nil {
 		return nil, err
 	}
-	out, err := h.command.StdoutPipe()
+	out, err := process.command.StdoutPipe()
 	if err != nil {
 		return nil, err
 	}
-	h.samples = json.NewDecoder(out)
-	if err := h.command.Start(); err != nil {
+	process.samples = json.NewDecoder(out)
+	if err := process.command.Start(); err != nil {
 		return nil, err
 	}
-	if err := json.NewEncoder(h.in).Encode(spec); err != nil {
-		h.stop()
+	if err := json.NewEncoder(process.in).Encode(spec); err != nil {
+		process.stop()
 		return nil, err
 	}
-	return h, nil
+	return process, nil
 }
 
-func (h *hollow) sample(question string) (hollowSample, error) {
-	var sample hollowSample
-	if _, err := io.WriteString(h.in, question); err != nil {
-		return sample, fmt.Errorf("process of ingresses: %w", err)
+// sample sends a request and returns the sample that answers it.
+func (p *controlPlaneProcess) sample(request string) (controlPlaneSample, error) {
+	var sample controlPlaneSample
+	if _, err := io.WriteString(p.in, request); err != nil {
+		return sample, fmt.Errorf("request sample from control plane process: %w", err)
 	}
-	if err := h.samples.Decode(&sample); err != nil {
-		return sample, fmt.Errorf("process of ingresses: %w", err)
+	if err := p.samples.Decode(&sample); err != nil {
+		return sample, fmt.Errorf("read sample from control plane process: %w", err)
 	}
 	return sample, nil
 }
 
-// stop ends the process, by force if it must.
-func (h *hollow) stop() {
-	h.in.Close()
-	forced := time.AfterFunc(endWithin, func() { h.command.Process.Kill() })
-	defer forced.Stop()
-	h.command.Wait()
+// stop closes the standard input of the process, which ends it, and kills the process if
+// it has not exited within stopTimeout.
+func (p *controlPlaneProcess) stop() {
+	p.in.Close()
+	killTimer := time.AfterFunc(stopTimeout, func() { p.command.Process.Kill() })
+	defer killTimer.Stop()
+	p.command.Wait()
 }
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -14,182 +14,186 @@
 	"cedarseam/internal/membership"
 )
 
-// RunOptions tell what is run. Durations are of the timeline's parts.
+// RunOptions describe a run. The durations are those of the timeline's phases.
 type RunOptions struct {
-	Ingresses int     // in all
-	Real      int     // of them, whole processes that carry load
-	Backends  int     // before them
+	Ingresses int     // total number
+	Real      int     // ingress processes that serve load; the others are control-plane-only
+	Backends  int     // number of backends
 	Seed      uint64  // of the load
-	Rate      float64 // requests a second to each real ingress
-	Program   string  `json:"-"` // this program, which runs the ingresses without clients
-	Ingress   string  `json:"-"` // the ingress program
+	Rate      float64 // requests per second to each real ingress
+	Program   string  `json:"-"` // path of this program, which runs the control-plane-only ingresses
+	Ingress   string  `json:"-"` // path of the ingress program
 
-	Quiet   time.Duration // nothing changes: at the beginning, and at the end
-	Release time.Duration // a part of the backends is replaced
-	Zone    time.Duration // a zone is lost
-	Cut     time.Duration // discovery is cut off from half of the ingresses
+	Quiet   time.Duration // no change is published: at the beginning, and after the reconnect
+	Release time.Duration // a share of the backends is replaced
+	Zone    time.Duration // half for the outage of a zone, half for its return
+	Cut     time.Duration // half of the ingresses are partitioned from discovery
 
-	Replaced float64 // part of the backends that the release replaces
+	Replaced float64 // fraction of the backends that the release replaces
 }
 
-// The size of the whole run.
+// The parameters and limits of a run.
 const (
-	hollowProcessesPerCore = 1
-	releaseSteps           = 20
-	releaseStepsInCut      = 4
-	settleWithin           = 60 * time.Second       // until all ingresses hold a change, at the longest
-	settlePause            = 100 * time.Millisecond // between two looks whether they do
-	memoryPerIngress       = 512 << 10              // bytes, besides what the list takes
-	memoryPerBackend       = 1110                   // bytes at each ingress: 850 as measured, and the garbage allowed
-	memoryShare            = 2                      // the run takes 1 of so many parts of the machine's memory at most
-	mostProcesses          = 300
+	controlPlaneProcessesPerCore = 1
+	releaseSteps                 = 20
+	partitionReleaseSteps        = 4
+	convergenceTimeout           = 60 * time.Second       // until all ingresses have applied a change
+	convergencePollInterval      = 100 * time.Millisecond // between samples while waiting for it
+	memoryPerIngress             = 512 << 10              // bytes, without the list
+	// memoryPerBackend is the bytes per backend at each ingress: 850 in use, and the garbage
+	// that controlPlaneGCPercent allows.
+	memoryPerBackend = 1110
+	memoryDivisor    = 2 // a run may need at most 1/memoryDivisor of the machine's memory
+	maxProcesses     = 300
 )
 
-// Check tells what of the options can't be run on this machine.
+// Check returns an error if this machine cannot run the options.
 func (o RunOptions) Check() error {
 	if o.Real < 0 || o.Real >= o.Ingresses {
-		return fmt.Errorf("%d real ingresses of %d: some must be without clients", o.Real, o.Ingresses)
+		return fmt.Errorf("%d of %d ingresses are real: at least one must run without clients", o.Real, o.Ingresses)
 	}
-	if o.Ingresses > agentsInAll {
-		return fmt.Errorf("%d ingresses: there are %d addresses for agents", o.Ingresses, agentsInAll)
+	if o.Ingresses > maxAgents {
+		return fmt.Errorf("%d ingresses: only %d addresses are available to agents", o.Ingresses, maxAgents)
 	}
-	if o.Real+runtime.NumCPU() >= mostProcesses {
-		return fmt.Errorf("%d real ingresses: the run would start over %d processes", o.Real, mostProcesses)
+	if o.Real+runtime.NumCPU() >= maxProcesses {
+		return fmt.Errorf("%d real ingresses: the run would start %d processes or more", o.Real, maxProcesses)
 	}
 	need := int64(o.Ingresses) * (memoryPerIngress + memoryPerBackend*int64(o.Backends))
-	total := int64(thisMachine().MemoryMB) << 20
-	if need > total/memoryShare {
-		return fmt.Errorf("%d ingresses and %d backends take about %d MB, over half of the machine's %d MB",
+	total := int64(currentMachine().MemoryMB) << 20
+	if need > total/memoryDivisor {
+		return fmt.Errorf("%d ingresses and %d backends need about %d MB, more than half of the machine's %d MB",
 			o.Ingresses, o.Backends, need>>20, total>>20)
 	}
 	return nil
 }
 
-// hollows are how many ingresses run without clients.
-func (o RunOptions) hollows() int { return o.Ingresses - o.Real }
+// controlPlaneCount returns the number of control-plane-only ingresses.
+func (o RunOptions) controlPlaneCount() int { return o.Ingresses - o.Real }
 
-// phaseStart is the phase in which all ingresses get their first list.
+// phaseStart is the phase in which all ingresses receive their first list.
 const phaseStart = "start"
 
-// Phase is what one part of the timeline cost each ingress without clients.
+// Phase holds the measurements of one phase of the timeline. Processor time and delays are
+// those of the control-plane-only ingresses, traffic and changes those of all ingresses.
 type Phase struct {
-	Name      string  `json:"name"`
-	Seconds   float64 `json:"seconds"`
-	Changes   int     `json:"changes"`           // told by discovery
-	Lines     int     `json:"lines"`             // in them
-	Processor float64 `json:"processor_percent"` // of a core, the mean ingress
-	Bytes     float64 `json:"bytes_kb_per_s"`    // the mean ingress
-	MostBytes float64 `json:"most_bytes_kb_per_s"`
-	Worst     float64 `json:"worst_second_mb"` // of what discovery sends to all
-	Median    float64 `json:"median_s"`        // from a change until an ingress holds it
-	P99       float64 `json:"p99_s"`
-	Last      float64 `json:"last_s"`
+	Name           string  `json:"name"`
+	Seconds        float64 `json:"seconds"`
+	Changes        int     `json:"changes"`             // published by discovery
+	UpdatedMembers int     `json:"lines"`               // in these changes
+	CPUPercent     float64 `json:"processor_percent"`   // of a core, mean per ingress
+	KBPerSecond    float64 `json:"bytes_kb_per_s"`      // sent by discovery, mean per ingress
+	MaxKBPerSecond float64 `json:"most_bytes_kb_per_s"` // the ingress that received most
+	WorstSecondMB  float64 `json:"worst_second_mb"`     // most sent to all in one second
+	MedianDelay    float64 `json:"median_s"`            // from a change until an ingress applied it
+	P99Delay       float64 `json:"p99_s"`
+	LastDelay      float64 `json:"last_s"`
 
 	Load LoadResult `json:"load"` // of the real ingresses together
 }
 
-// RunResult is what a run has measured.
+// RunResult holds the measurements of a run.
 type RunResult struct {
-	Machine  Machine    `json:"machine"`
-	Options  RunOptions `json:"options"`
-	Phases   []Phase    `json:"phases"`
-	Resident []float64  `json:"resident_real_mb"`
-	Figures  []Figure   `json:"figures"`
+	Machine    Machine    `json:"machine"`
+	Options    RunOptions `json:"options"`
+	Phases     []Phase    `json:"phases"`
+	ResidentMB []float64  `json:"resident_real_mb"`
+	Figures    []Figure   `json:"figures"`
 }
 
-// Over tells whether a figure breaks its budget.
-func (r *RunResult) Over() bool { return anyOver(r.Figures) }
+// OverBudget reports whether any figure exceeds its budget.
+func (r *RunResult) OverBudget() bool { return anyOverBudget(r.Figures) }
 
-// run is a run under way.
+// run is the state of a run.
 type run struct {
-	ctx       context.Context
-	options   RunOptions
-	backends  *backends
-	discovery *discovery
-	hollows   []*hollow
-	real      []*process
-	fleet     membership.List // as it now is, by the number of each backend
-	result    *RunResult
+	ctx           context.Context
+	options       RunOptions
+	backends      *backendStub
+	discovery     *discoveryStub
+	controlPlanes []*controlPlaneProcess
+	realIngresses []*ingressProcess
+	fleet         membership.List // current state of each backend, by number
+	result        *RunResult
 
-	// Of the phase under way.
-	published map[int64]int64 // by revision, Unix time in microseconds
-	lines     int
-	excluded  map[int64]bool // revisions told while some ingresses could not hear
-	loads     []*load
-	latencies *hdrhistogram.Histogram // of the whole run, in microseconds
-	resident  float64                 // MB of the mean ingress without clients, the most so far
-	heap      float64                 // MB of it in use at the end
+	// The changes of the current phase.
+	publishedAt    map[int64]int64 // Unix time in microseconds, by revision
+	updatedMembers int
+	excluded       map[int64]bool // revisions published while some ingresses were partitioned
+
+	generators []*loadGenerator
+	latencies  *hdrhistogram.Histogram // of the whole run, in microseconds
+	residentMB float64                 // mean per control-plane-only ingress, highest phase
+	heapMB     float64                 // in use at the end, mean per control-plane-only ingress
 }
 
-// Run plays one timeline: a quiet time, the replacement of a part of the
-// backends in steps, the loss of a zone and its return, and discovery cut off
-// from half of the ingresses while a replacement goes on, and back at once.
+// Run runs one timeline: a phase without changes, the stepwise replacement of a share of
+// the backends, the outage of a zone and its return, and a partition of half of the
+// ingresses from discovery during another replacement, which ends for all at once.
 func Run(ctx context.Context, options RunOptions) (*RunResult, error) {
 	if err := options.Check(); err != nil {
 		return nil, err
 	}
-	r := &run{ctx: ctx, options: options, result: &RunResult{Machine: thisMachine(), Options: options}, latencies: newHistogram()}
+	r := &run{ctx: ctx, options: options, result: &RunResult{Machine: currentMachine(), Options: options}, latencies: newHistogram()}
 	defer r.stop()
 	if err := r.start(); err != nil {
 		return nil, err
 	}
-	if err := r.play(); err != nil {
+	if err := r.runTimeline(); err != nil {
 		return nil, err
 	}
-	r.sumUp()
+	r.computeFigures()
 	return r.result, nil
 }
 
-// start starts the stand-ins and all ingresses.
+// start starts the simulated systems and all ingresses.
 func (r *run) start() (err error) {
-	if r.backends, err = startBackends(); err != nil {
+	if r.backends, err = startBackendStub(); err != nil {
 		return err
 	}
 	r.fleet = newFleet(r.options.Backends, r.backends.port)
-	if r.discovery, err = startDiscovery(r.fleet, 0); err != nil {
+	if r.discovery, err = startDiscoveryStub(r.fleet, 0); err != nil {
 		return err
 	}
 	for number := range r.options.Real {
-		p, err := startProcess(r.ctx, processSpec{program: r.options.Ingress, name: fmt.Sprint("i", number), self: number,
-			ingresses: r.options.Ingresses, discovery: r.discovery.agentAddress(number), sockets: 1024})
+		process, err := startIngress(r.ctx, ingressSpec{program: r.options.Ingress, name: fmt.Sprint("i", number), index: number,
+			ingresses: r.options.Ingresses, discovery: r.discovery.agentAddress(number), maxSockets: 1024})
 		if err != nil {
 			return err
 		}
-		r.real = append(r.real, p)
+		r.realIngresses = append(r.realIngresses, process)
 	}
-	return r.startHollows()
+	return r.startControlPlanes()
 }
 
-// startHollows spreads the ingresses without clients over some processes.
-func (r *run) startHollows() error {
-	first, left := r.options.Real, r.options.hollows()
-	processes := min(left, hollowProcessesPerCore*runtime.NumCPU())
+// startControlPlanes distributes the control-plane-only ingresses evenly over processes.
+func (r *run) startControlPlanes() error {
+	first, remaining := r.options.Real, r.options.controlPlaneCount()
+	processes := min(remaining, controlPlaneProcessesPerCore*runtime.NumCPU())
 	for i := range processes {
-		spec := HollowSpec{Ingresses: r.options.Ingresses, First: first}
-		for range left / (processes - i) {
+		spec := ControlPlaneSpec{Ingresses: r.options.Ingresses, First: first}
+		for range remaining / (processes - i) {
 			spec.Agents = append(spec.Agents, r.discovery.agentAddress(first))
 			first++
-			left--
+			remaining--
 		}
-		h, err := startHollow(r.ctx, r.options.Program, spec)
+		process, err := startControlPlaneProcess(r.ctx, r.options.Program, spec)
 		if err != nil {
 			return err
 		}
-		r.hollows = append(r.hollows, h)
+		r.controlPlanes = append(r.controlPlanes, process)
 	}
 	return nil
 }
 
-// stop ends all that start has started, at the same time.
+// stop stops the ingresses concurrently, and then the simulated systems.
 func (r *run) stop() {
-	var ending sync.WaitGroup
-	for _, p := range r.real {
-		ending.Go(p.stop)
+	var stopping sync.WaitGroup
+	for _, process := range r.realIngresses {
+		stopping.Go(process.stop)
 	}
-	for _, h := range r.hollows {
-		ending.Go(h.stop)
+	for _, process := range r.controlPlanes {
+		stopping.Go(process.stop)
 	}
-	ending.Wait()
+	stopping.Wait()
 	if r.discovery != nil {
 		r.discovery.close()
 	}
@@ -198,127 +202,128 @@
 	}
 }
 
-// play runs the timeline under load.
-func (r *run) play() error {
-	if err := r.phase(phaseStart, func() error { return nil }); err != nil {
+// runTimeline runs all phases, those after the first under load.
+func (r *run) runTimeline() error {
+	if err := r.runPhase(phaseStart, func() error { return nil }); err != nil {
 		return err
 	}
-	loadDone := r.startLoad()
+	stopLoad := r.startLoad()
 	steps := []struct {
-		name string
-		play func() error
+		name   string
+		action func() error
 	}{
 		{"quiet", func() error { return r.sleep(r.options.Quiet) }},
 		{"release", r.release},
-		{"zone lost", r.loseZone},
-		{"zone back", r.returnZone},
-		{"half cut off", r.cutOff},
+		{"zone lost", r.failZone},
+		{"zone back", r.restoreZone},
+		{"half cut off", r.partitionHalf},
 		{"half back", r.reconnect},
 	}
 	for _, step := range steps {
-		if err := r.phase(step.name, step.play); err != nil {
+		if err := r.runPhase(step.name, step.action); err != nil {
 			return err
 		}
 	}
-	loadDone()
-	r.takeLast()
-	last, err := r.samples(askHeap)
+	stopLoad()
+	r.addLateReplies()
+	sample, err := r.sampleControlPlanes(heapSampleRequest)
 	if err != nil {
 		return err
 	}
-	r.heap = float64(last.Heap) / 1e6 / float64(r.options.hollows())
+	r.heapMB = float64(sample.Heap) / 1e6 / float64(r.options.controlPlaneCount())
 	return nil
 }
 
-// startLoad sends requests to the real ingresses until the function that it
-// returns is called, which waits for the last answers.
-func (r *run) startLoad() (done func()) {
-	o := r.options
+// startLoad starts sending requests to the real ingresses. The function that it returns
+// stops the load and waits for the last replies.
+func (r *run) startLoad() (stopLoad func()) {
+	options := r.options
 	ctx, stop := context.WithCancel(r.ctx)
-	longest := 2*o.Quiet + o.Release + o.Zone + o.Cut + 4*settleWithin
-	var running sync.WaitGroup
-	for i, p := range r.real {
-		l := newLoad(loadOptions{address: p.listen, rate: o.Rate, length: longest, seed: o.Seed + uint64(i)})
-		r.loads = append(r.loads, l)
-		running.Go(func() { l.run(ctx) })
+	maxDuration := 2*options.Quiet + options.Release + options.Zone + options.Cut + 4*convergenceTimeout
+	var pending sync.WaitGroup
+	for i, process := range r.realIngresses {
+		generator := newLoadGenerator(loadOptions{address: process.address, rate: options.Rate, duration: maxDuration, seed: options.Seed + uint64(i)})
+		r.generators = append(r.generators, generator)
+		pending.Go(func() { generator.run(ctx) })
 	}
 	return func() {
 		stop()
-		running.Wait()
+		pending.Wait()
 	}
 }
 
-// takeLoad sums up what became of requests since it was last called.
-func (r *run) takeLoad() (sum LoadResult) {
+// takeLoadResults returns the outcomes and latencies at all real ingresses since the last
+// call, and adds the latencies to those of the run.
+func (r *run) takeLoadResults() (sum LoadResult) {
 	latencies := newHistogram()
-	for _, l := range r.loads {
-		result, own := l.take()
+	for _, generator := range r.generators {
+		result, generatorLatencies := generator.takeResult()
 		sum = sum.plus(result)
-		latencies.Merge(own)
+		latencies.Merge(generatorLatencies)
 	}
 	r.latencies.Merge(latencies)
-	return sum.withLatencies(latencies)
+	return sum.withQuantiles(latencies)
 }
 
-// takeLast books what is answered after the last phase to that one, but for the
-// latencies, which are those of the whole run alone.
-func (r *run) takeLast() {
+// addLateReplies adds the replies after the last phase to its counts. Their latencies
+// count for the run only.
+func (r *run) addLateReplies() {
 	last := &r.result.Phases[len(r.result.Phases)-1].Load
-	sum := last.plus(r.takeLoad())
+	sum := last.plus(r.takeLoadResults())
 	sum.P50, sum.P99, sum.Worst = last.P50, last.P99, last.Worst
 	*last = sum
 }
 
-// phase plays one part of the timeline, waits until all ingresses hold what was
-// told, and books what it cost.
-func (r *run) phase(name string, play func() error) error {
-	before, err := r.samples(askSample)
+// runPhase runs one phase of the timeline, waits until the ingresses have applied its
+// changes, and records its measurements.
+func (r *run) runPhase(name string, action func() error) error {
+	before, err := r.sampleControlPlanes(sampleRequest)
 	if err != nil {
 		return err
 	}
-	r.published, r.lines, r.excluded = map[int64]int64{}, 0, map[int64]bool{}
+	r.publishedAt, r.updatedMembers, r.excluded = map[int64]int64{}, 0, map[int64]bool{}
 	if name != phaseStart {
 		r.discovery.resetTraffic()
 	}
-	begun := time.Now()
-	if err := play(); err != nil {
+	started := time.Now()
+	if err := action(); err != nil {
 		return err
 	}
-	after, applied, err := r.settle(before)
+	after, applied, err := r.awaitConvergence(before)
 	if err != nil {
 		return fmt.Errorf("%s: %w", name, err)
 	}
-	took := time.Since(begun).Seconds()
-	hollows := r.options.hollows()
-	total, most, worst := r.discovery.sentSoFar()
-	p := Phase{Name: name, Seconds: took, Changes: len(r.published), Lines: r.lines,
-		Processor: 100 * (after.Processor - before.Processor).Seconds() / took / float64(hollows),
-		Bytes:     float64(total) / 1e3 / took / float64(r.options.Ingresses),
-		MostBytes: float64(most) / 1e3 / took,
-		Worst:     float64(worst) / 1e6,
-	}
-	p.Median, p.P99, p.Last = r.delays(applied)
-	p.Load = r.takeLoad()
-	r.resident = max(r.resident, float64(after.Resident)/1e6/float64(hollows))
+	elapsed := time.Since(started).Seconds()
+	count := r.options.controlPlaneCount()
+	total, maxPerAgent, maxPerSecond := r.discovery.trafficTotals()
+	p := Phase{Name: name, Seconds: elapsed, Changes: len(r.publishedAt), UpdatedMembers: r.updatedMembers,
+		CPUPercent:     100 * (after.CPUTime - before.CPUTime).Seconds() / elapsed / float64(count),
+		KBPerSecond:    float64(total) / 1e3 / elapsed / float64(r.options.Ingresses),
+		MaxKBPerSecond: float64(maxPerAgent) / 1e3 / elapsed,
+		WorstSecondMB:  float64(maxPerSecond) / 1e6,
+	}
+	p.MedianDelay, p.P99Delay, p.LastDelay = r.convergenceDelays(applied)
+	p.Load = r.takeLoadResults()
+	r.residentMB = max(r.residentMB, float64(after.Resident)/1e6/float64(count))
 	r.result.Phases = append(r.result.Phases, p)
-	slog.Info("played", "phase", name, "seconds", short(took), "last_s", short(p.Last))
+	slog.Info("phase completed", "phase", name, "seconds", formatNumber(elapsed), "last_s", formatNumber(p.LastDelay))
 	return nil
 }
 
-// samples adds up what the processes of ingresses without clients tell.
-func (r *run) samples(question string) (sum hollowSample, err error) {
-	all := make([]hollowSample, len(r.hollows))
-	failed := make([]error, len(r.hollows))
-	var asked sync.WaitGroup
-	for i, h := range r.hollows {
-		asked.Go(func() { all[i], failed[i] = h.sample(question) })
-	}
-	asked.Wait()
-	for i, sample := range all {
-		if failed[i] != nil {
-			return sum, failed[i]
+// sampleControlPlanes returns the sum of the samples of all control plane processes.
+func (r *run) sampleControlPlanes(request string) (sum controlPlaneSample, err error) {
+	samples := make([]controlPlaneSample, len(r.controlPlanes))
+	errs := make([]error, len(r.controlPlanes))
+	var pending sync.WaitGroup
+	for i, process := range r.controlPlanes {
+		pending.Go(func() { samples[i], errs[i] = process.sample(request) })
+	}
+	pending.Wait()
+	for i, sample := range samples {
+		if errs[i] != nil {
+			return sum, errs[i]
 		}
-		sum.Processor += sample.Processor
+		sum.CPUTime += sample.CPUTime
 		sum.Resident += sample.Resident
 		sum.Heap += sample.Heap
 		sum.Applied = append(sum.Applied, sample.Applied...)
@@ -326,71 +331,74 @@
 	return sum, nil
 }
 
-// settle waits until every ingress without clients holds the last revision, and
-// returns the last sample with all lists applied since the phase began.
-func (r *run) settle(before hollowSample) (last hollowSample, applied []appliedList, err error) {
-	wanted := r.discovery.revision()
-	held := map[int]bool{}
-	note := func(lists []appliedList) {
+// awaitConvergence waits until every control-plane-only ingress has applied the last
+// revision, and returns the last sample and all lists applied since the phase began. It
+// does not wait in a phase without changes, nor while some ingresses are partitioned.
+func (r *run) awaitConvergence(before controlPlaneSample) (last controlPlaneSample, applied []appliedList, err error) {
+	target := r.discovery.currentRevision()
+	converged := map[int]bool{}
+	addApplied := func(lists []appliedList) {
 		applied = append(applied, lists...)
 		for _, l := range lists {
-			if l.Revision >= wanted {
-				held[l.Ingress] = true
+			if l.Revision >= target {
+				converged[l.Ingress] = true
 			}
 		}
 	}
-	note(before.Applied)
-	hollows := r.options.hollows()
-	quiet := len(r.published) == 0 && len(r.result.Phases) > 0
-	for begun := time.Now(); ; {
-		if last, err = r.samples(askSample); err != nil {
+	addApplied(before.Applied)
+	count := r.options.controlPlaneCount()
+	noChanges := len(r.publishedAt) == 0 && len(r.result.Phases) > 0
+	for started := time.Now(); ; {
+		if last, err = r.sampleControlPlanes(sampleRequest); err != nil {
 			return last, nil, err
 		}
-		note(last.Applied)
-		if quiet || len(held) == hollows || len(r.excluded) > 0 {
+		addApplied(last.Applied)
+		if noChanges || len(converged) == count || len(r.excluded) > 0 {
 			return last, applied, nil
 		}
-		if time.Since(begun) > settleWithin {
-			return last, nil, fmt.Errorf("%d of %d ingresses hold revision %d after %v", len(held), hollows, wanted, settleWithin)
+		if time.Since(started) > convergenceTimeout {
+			return last, nil, fmt.Errorf("only %d of %d ingresses applied revision %d within %v", len(converged), count, target, convergenceTimeout)
 		}
-		if err := r.sleep(settlePause); err != nil {
+		if err := r.sleep(convergencePollInterval); err != nil {
 			return last, nil, err
 		}
 	}
 }
 
-// delays tell how long it took from each change until each ingress held it, in
-// seconds: the median, that of 99 in 100, and the last.
-func (r *run) delays(applied []appliedList) (median, p99, last float64) {
+// convergenceDelays returns the median, the 99th percentile and the maximum of the delays,
+// in seconds, from each change until each ingress applied it or a later one. Excluded
+// revisions do not count.
+func (r *run) convergenceDelays(applied []appliedList) (median, p99, last float64) {
 	byIngress := map[int][]appliedList{}
 	for _, l := range applied {
 		byIngress[l.Ingress] = append(byIngress[l.Ingress], l)
 	}
-	var all []float64
+	var delays []float64
 	for _, lists := range byIngress {
 		slices.SortFunc(lists, func(a, b appliedList) int { return int(a.At - b.At) })
-		for revision, at := range r.published {
+		for revision, at := range r.publishedAt {
 			i := slices.IndexFunc(lists, func(l appliedList) bool { return l.Revision >= revision })
 			if i >= 0 && !r.excluded[revision] {
-				all = append(all, float64(lists[i].At-at)/1e6)
+				delays = append(delays, float64(lists[i].At-at)/1e6)
 			}
 		}
 	}
-	if len(all) == 0 {
+	if len(delays) == 0 {
 		return 0, 0, 0
 	}
-	slices.Sort(all)
-	return all[len(all)/2], all[len(all)*99/100], all[len(all)-1]
+	slices.Sort(delays)
+	return delays[len(delays)/2], delays[len(delays)*99/100], delays[len(delays)-1]
 }
 
-// publish tells a change.
+// publish publishes a change and records its time.
 func (r *run) publish(members ...*membership.Member) {
 	at := time.Now().UnixMicro()
 	revision := r.discovery.publish(members...)
-	r.published[revision] = at
-	r.lines += len(members)
+	r.publishedAt[revision] = at
+	r.updatedMembers += len(members)
 }
 
+// sleep waits for a duration, or returns an error if the run is cancelled.
 func (r *run) sleep(d time.Duration) error {
 	select {
 	case <-time.After(d):
--- a/internal/scale/run_test.go
+++ b/internal/scale/run_test.go
@@ -10,42 +10,43 @@
 	"time"
 )
 
-func TestRunThatDoesNotFitTheMachineIsRefused(t *testing.T) {
+func TestCheckRejectsOversizedRun(t *testing.T) {
 	fits := RunOptions{Ingresses: 20, Real: 1, Backends: 200}
 	if err := fits.Check(); err != nil {
-		t.Errorf("a small run is refused: %v", err)
+		t.Errorf("a small run is rejected: %v", err)
 	}
-	for what, change := range map[string]func(*RunOptions){
+	for want, change := range map[string]func(*RunOptions){
 		"MB":        func(o *RunOptions) { o.Ingresses, o.Backends = 10_000, 1_000_000 },
 		"clients":   func(o *RunOptions) { o.Real = o.Ingresses },
-		"addresses": func(o *RunOptions) { o.Ingresses, o.Backends = agentsInAll+1, 0 },
+		"addresses": func(o *RunOptions) { o.Ingresses, o.Backends = maxAgents+1, 0 },
 		"processes": func(o *RunOptions) { o.Ingresses, o.Real = 400, 320 },
 	} {
 		o := fits
 		change(&o)
-		if err := o.Check(); err == nil || !strings.Contains(err.Error(), what) {
-			t.Errorf("%s: the error is %v", what, err)
+		if err := o.Check(); err == nil || !strings.Contains(err.Error(), want) {
+			t.Errorf("the error is %[2]v, want one that mentions %[1]q", want, err)
 		}
 	}
 }
 
-// Delays count from a change until an ingress holds it or a later one.
-func TestDelaysCountFromTheChange(t *testing.T) {
-	r := &run{published: map[int64]int64{2: 1_000_000, 3: 2_000_000, 4: 9_000_000}, excluded: map[int64]bool{4: true}}
-	median, p99, last := r.delays([]appliedList{
+// A delay counts from the publication of a change until an ingress applied that change or a
+// later one. Excluded revisions do not count.
+func TestConvergenceDelaysCountFromPublication(t *testing.T) {
+	r := &run{publishedAt: map[int64]int64{2: 1_000_000, 3: 2_000_000, 4: 9_000_000}, excluded: map[int64]bool{4: true}}
+	median, p99, last := r.convergenceDelays([]appliedList{
 		{Ingress: 1, Revision: 2, At: 1_100_000}, {Ingress: 1, Revision: 3, At: 2_200_000},
-		{Ingress: 2, Revision: 3, At: 2_300_000}, // it has heard of both changes at once
+		{Ingress: 2, Revision: 3, At: 2_300_000}, // received both changes at once
 		{Ingress: 2, Revision: 4, At: 99_000_000},
 	})
-	if !near(last, 1.3) || !near(p99, 1.3) || !near(median, 0.3) {
+	if !almostEqual(last, 1.3) || !almostEqual(p99, 1.3) || !almostEqual(median, 0.3) {
 		t.Errorf("median %v, p99 %v, last %v; want 0.3, 1.3 and 1.3", median, p99, last)
 	}
 }
 
-// question asks a process of hollow ingresses, here a goroutine, for a sample.
-func question(t *testing.T, in io.Writer, samples *json.Decoder) (sample hollowSample) {
+// requestSample requests a sample from RunControlPlanes, which runs in a goroutine here.
+func requestSample(t *testing.T, in io.Writer, samples *json.Decoder) (sample controlPlaneSample) {
 	t.Helper()
-	if _, err := io.WriteString(in, askHeap); err != nil {
+	if _, err := io.WriteString(in, heapSampleRequest); err != nil {
 		t.Fatal(err)
 	}
 	if err := samples.Decode(&sample); err != nil {
@@ -54,54 +55,55 @@
 	return sample
 }
 
-// Ingresses without clients follow discovery, tell when a list is in force, and
-// end with their input.
-func TestHollowIngressesFollowDiscovery(t *testing.T) {
+// Control-plane-only ingresses follow discovery, report the lists that they have applied,
+// and end at the end of the input.
+func TestControlPlanesFollowDiscovery(t *testing.T) {
 	d, fleet := newTestDiscovery(t, 50)
-	in, tell := io.Pipe()
-	answers, out := io.Pipe()
-	ended := make(chan error, 1)
-	go func() { ended <- RunHollow(t.Context(), in, out) }()
-	spec := HollowSpec{Ingresses: 9, First: 4, Agents: []string{d.agentAddress(4), d.agentAddress(5)}}
-	if err := json.NewEncoder(tell).Encode(spec); err != nil {
+	in, requests := io.Pipe()
+	replies, out := io.Pipe()
+	exited := make(chan error, 1)
+	go func() { exited <- RunControlPlanes(t.Context(), in, out) }()
+	spec := ControlPlaneSpec{Ingresses: 9, First: 4, Agents: []string{d.agentAddress(4), d.agentAddress(5)}}
+	if err := json.NewEncoder(requests).Encode(spec); err != nil {
 		t.Fatal(err)
 	}
-	samples := json.NewDecoder(answers)
+	samples := json.NewDecoder(replies)
 	await := func(revision int64) {
 		t.Helper()
 		held := map[int]bool{}
-		for begun := time.Now(); len(held) < 2; {
-			sample := question(t, tell, samples)
+		for started := time.Now(); len(held) < 2; {
+			sample := requestSample(t, requests, samples)
 			for _, l := range sample.Applied {
 				held[l.Ingress] = held[l.Ingress] || l.Revision == revision
 			}
-			if sample.Processor <= 0 || sample.Resident <= 0 || sample.Heap <= 0 || time.Since(begun) > patience {
-				t.Fatalf("after %v the sample is %+v", time.Since(begun), sample)
+			if sample.CPUTime <= 0 || sample.Resident <= 0 || sample.Heap <= 0 || time.Since(started) > testTimeout {
+				t.Fatalf("after %v the sample is %+v", time.Since(started), sample)
 			}
 		}
 		if !held[4] || !held[5] {
-			t.Errorf("ingresses %v hold revision %d, want 4 and 5", held, revision)
+			t.Errorf("ingresses %v applied revision %d, want 4 and 5", held, revision)
 		}
 	}
 	await(1)
 	d.publish(fleet.Members[7])
 	await(2)
-	tell.Close()
-	if err := <-ended; err != nil {
-		t.Errorf("the end of the input ends it with %v", err)
+	requests.Close()
+	if err := <-exited; err != nil {
+		t.Errorf("at the end of the input RunControlPlanes returns %v", err)
 	}
 }
 
-func TestHollowWithoutASpecificationFails(t *testing.T) {
+func TestRunControlPlanesRejectsInvalidSpec(t *testing.T) {
 	for _, text := range []string{"", "no json\n", `{"agents":["127.0.0.1:1"],"ingresses":0}` + "\n"} {
-		if err := RunHollow(t.Context(), strings.NewReader(text), io.Discard); err == nil {
-			t.Errorf("%q runs", text)
+		if err := RunControlPlanes(t.Context(), strings.NewReader(text), io.Discard); err == nil {
+			t.Errorf("the specification %q is accepted", text)
 		}
 	}
 }
 
-// server answers each connection's commands with the same line.
-func server(t *testing.T, answer string) (address string) {
+// startReplyServer starts a server that sends the same reply to each command. With an empty
+// reply it closes the connection instead.
+func startReplyServer(t *testing.T, answer string) (address string) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -125,7 +127,7 @@
 					if line == "$5\r\n" || line == "$4\r\n" {
 						continue
 					}
-					// The parameters are the last line of one request, or a body is.
+					// The last line of a command is its body, or its parameters if it has none.
 					if strings.HasPrefix(line, "BODY") || strings.Contains(line, "c=view") {
 						io.WriteString(connection, answer)
 					}
@@ -136,35 +138,35 @@
 	return listener.Addr().String()
 }
 
-func TestLoadCountsWhatBecomesOfRequests(t *testing.T) {
+func TestLoadGeneratorCountsOutcomes(t *testing.T) {
 	for answer, count := range map[string]func(LoadResult) int64{
 		"$5\r\nvalue\r\n": func(r LoadResult) int64 { return r.Served },
 		"-BUSY 20\r\n":    func(r LoadResult) int64 { return r.Refused },
 		"-ERR failed\r\n": func(r LoadResult) int64 { return r.Failed },
 		"":                func(r LoadResult) int64 { return r.Unanswered },
 	} {
-		load := newLoad(loadOptions{address: server(t, answer), rate: 1000, length: 50 * time.Millisecond, seed: 3})
-		load.run(t.Context())
-		result, _ := load.take()
-		if again, _ := load.take(); again != (LoadResult{}) {
-			t.Errorf("taken again, the result is %+v", again)
+		generator := newLoadGenerator(loadOptions{address: startReplyServer(t, answer), rate: 1000, duration: 50 * time.Millisecond, seed: 3})
+		generator.run(t.Context())
+		result, _ := generator.takeResult()
+		if again, _ := generator.takeResult(); again != (LoadResult{}) {
+			t.Errorf("the second takeResult returns %+v, want no counts", again)
 		}
 		if result.Sent != 50 || count(result) != 50 {
-			t.Errorf("answered %q: %+v, want 50 of 50", answer, result)
+			t.Errorf("with the reply %q: %+v, want 50 of 50", answer, result)
 		}
 	}
 }
 
-// A process that is gone resets its connections and takes no new ones; the
-// others are not touched.
-func TestBackendThatIsDownResetsItsConnections(t *testing.T) {
-	b, err := startBackends()
+// Stopping a backend resets its connections and those opened afterwards; other backends are
+// not affected.
+func TestStoppedBackendResetsConnections(t *testing.T) {
+	b, err := startBackendStub()
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(b.close)
-	ask := func(connection net.Conn) error {
-		connection.SetDeadline(time.Now().Add(patience))
+	sendPing := func(connection net.Conn) error {
+		connection.SetDeadline(time.Now().Add(testTimeout))
 		if _, err := io.WriteString(connection, "*1\r\n$4\r\nPING\r\n"); err != nil {
 			return err
 		}
@@ -179,30 +181,30 @@
 		t.Cleanup(func() { connection.Close() })
 		return connection
 	}
-	one, other := dial(1), dial(2)
-	if err1, err2 := ask(one), ask(other); err1 != nil || err2 != nil {
-		t.Fatalf("backends that are up: %v, %v", err1, err2)
+	stopped, running := dial(1), dial(2)
+	if err1, err2 := sendPing(stopped), sendPing(running); err1 != nil || err2 != nil {
+		t.Fatalf("running backends: %v, %v", err1, err2)
 	}
 	b.setDown(true, backendAddress(1, b.port))
-	if ask(one) == nil || ask(dial(1)) == nil {
-		t.Error("a backend that is down answers")
+	if sendPing(stopped) == nil || sendPing(dial(1)) == nil {
+		t.Error("a stopped backend replies")
 	}
-	if err := ask(other); err != nil {
+	if err := sendPing(running); err != nil {
 		t.Errorf("another backend: %v", err)
 	}
 	b.setDown(false, backendAddress(1, b.port))
-	if err := ask(dial(1)); err != nil {
-		t.Errorf("a backend that is up again: %v", err)
+	if err := sendPing(dial(1)); err != nil {
+		t.Errorf("a restarted backend: %v", err)
 	}
 }
 
 func TestFiguresOverBudgetAreMarked(t *testing.T) {
 	r := RunResult{Figures: []Figure{{"fine", 1, "ms", &BudgetLatency}, {"free", 99, "ms", nil}}}
-	if r.Over() || strings.Contains(r.Markdown(), "over budget") {
-		t.Error("figures inside their budgets are marked")
+	if r.OverBudget() || strings.Contains(r.Markdown(), "over budget") {
+		t.Error("figures within their budgets are marked")
 	}
 	r.Figures = append(r.Figures, Figure{"slow", 8, "ms", &BudgetLatency})
-	if !r.Over() || !strings.Contains(r.Markdown(), "| slow | 8 | ms | 7.7 | **over budget** |") {
+	if !r.OverBudget() || !strings.Contains(r.Markdown(), "| slow | 8 | ms | 7.7 | **over budget** |") {
 		t.Errorf("the figure over its budget is not marked:\n%s", r.Markdown())
 	}
 }
