--- a/internal/ingress/arrivals.go
+++ b/internal/ingress/arrivals.go
@@ -2,25 +2,27 @@
 
 import "time"
 
-// arrivalStep is by how much bytes may count as come earlier than they did, so
-// that few times are kept for them: a deadline counts too short by so much at most.
+// arrivalResolution is the precision of arrival times. Bytes that arrive within it of
+// the last mark count as having arrived with that mark, which keeps the number of marks
+// small. A deadline may therefore be too early by at most this much.
 const arrivalResolution = 10 * time.Millisecond
 
-// arrivals tells when bytes came that are read and not started yet. The time of
-// a request counts from its last byte, however long it is held back and whatever
-// comes behind it meanwhile.
+// arrivals records when the bytes arrived that were read and not yet parsed into
+// commands. The deadline of a request counts from the arrival of its last byte, no
+// matter how long its start is delayed or what arrives after it.
 type arrivals struct {
-	received, consumed int // bytes so far
+	received, consumed int // total number of bytes so far
 	marks              []arrival
 }
 
-// arrival is when the bytes up to an end came, those of the mark before left out.
+// arrival is the time at which the bytes between the end of the previous mark and its
+// own end arrived. Ends count bytes from the start of the connection.
 type arrival struct {
 	end int
 	at  time.Time
 }
 
-// add notes that so many further bytes came.
+// add records the arrival of further bytes.
 func (a *arrivals) add(bytes int, at time.Time) {
 	a.received += bytes
 	if last := len(a.marks) - 1; last >= 0 && at.Sub(a.marks[last].at) < arrivalResolution {
@@ -30,8 +32,8 @@
 	a.marks = append(a.marks, arrival{a.received, at})
 }
 
-// take takes the next bytes, at least one, off those that came, and returns when
-// the last of them did.
+// consume removes the next bytes, at least one, and returns when the last of them
+// arrived.
 func (a *arrivals) consume(bytes int) (at time.Time) {
 	a.consumed += bytes
 	first := 0
--- a/internal/ingress/client.go
+++ b/internal/ingress/client.go
@@ -13,80 +13,100 @@
 )
 
 const (
-	writeTimeout          = 5 * time.Second         // a client that does not read its answers
-	lingerTimeout         = 200 * time.Millisecond  // for the last answers to arrive before the connection closes
-	finalReadTimeout      = 50 * time.Millisecond   // for what has come to be read: the reader may be held up meanwhile
-	maxPipelinedCommands  = 128                     // open requests on one connection
-	firstCommandTimeout   = 2200 * time.Millisecond // for the first command on a connection
-	partialCommandTimeout = 2 * time.Second         // for the rest of one that has begun
-	maxInvalidCommands    = 8                       // wrong commands after which a connection ends
-	invalidCommandDelay   = 50 * time.Millisecond   // behind the second one and each further one, without a further command
-	// leaveCheck is how often a client is looked after whose end is hidden by
-	// bytes that stay unread. A client that has gone is worth no attempt 0.1 s later.
+	// writeTimeout bounds a write to a client that does not read its answers.
+	writeTimeout = 5 * time.Second
+	// lingerTimeout is how long a connection stays open after its last answer, so
+	// that the answer arrives before the connection closes.
+	lingerTimeout = 200 * time.Millisecond
+	// finalReadTimeout bounds the read of a first command that is already in the
+	// socket's receive buffer at the end of a shutdown. The goroutine that reads
+	// may be scheduled late, so the deadline leaves it some time.
+	finalReadTimeout = 50 * time.Millisecond
+	// maxPipelinedCommands is how many commands of a connection may be unanswered
+	// at a time.
+	maxPipelinedCommands = 128
+	// firstCommandTimeout is how long a new connection may take to send its first
+	// command.
+	firstCommandTimeout = 2200 * time.Millisecond
+	// partialCommandTimeout is how long the rest of a command may take to arrive.
+	partialCommandTimeout = 2 * time.Second
+	// maxInvalidCommands is how many invalid commands close a connection.
+	maxInvalidCommands = 8
+	// invalidCommandDelay is how long no command is started after the second and
+	// each further invalid command of a connection.
+	invalidCommandDelay = 50 * time.Millisecond
+	// peerCloseCheckInterval is how often the state of a connection is polled while
+	// unread bytes hide a close by the client. An attempt for a client that
+	// disconnected more than 0.1 s ago is wasted.
 	peerCloseCheckInterval = 40 * time.Millisecond
 )
 
+// The reasons for which the reader stops. errClientDisconnected and those that wrap
+// errServerClose close the connection without an error reply, errIncompleteCommand
+// is answered with BUSY, and the text of any other one is sent to the client.
 var (
 	errFirstCommandTimeout    = errors.New("no command came in time")
 	errPartialCommandTimeout  = errors.New("the command did not become whole in time")
 	errTooManyInvalidCommands = errors.New("too many wrong commands")
 	errNoMemory               = errors.New("no memory is left for the command")
-	errServerClose            = errors.New("the connection takes no further command")
-	errEvicted                = fmt.Errorf("%w: it was idle and makes room", errServerClose)
-	errDraining               = fmt.Errorf("%w: the ingress stops, and it is between requests", errServerClose)
-	errFirstCommandOnly       = fmt.Errorf("%w: the ingress stops, and it has sent a command", errServerClose)
-	errReadingStopped         = fmt.Errorf("%w: the process ends", errServerClose)
-	errIncompleteCommand      = errors.New("the process ends before the command is whole")
-	errClientDisconnected     = errors.New("the client is gone")
+	errServerClose            = errors.New("the connection accepts no further commands")
+	errEvicted                = fmt.Errorf("%w: evicted while idle to make room for a new connection", errServerClose)
+	errDraining               = fmt.Errorf("%w: the ingress is draining and no request is open", errServerClose)
+	errFirstCommandOnly       = fmt.Errorf("%w: the ingress is draining and this is not the first", errServerClose)
+	errReadingStopped         = fmt.Errorf("%w: the ingress has stopped reading", errServerClose)
+	errIncompleteCommand      = errors.New("the ingress stopped reading before the command was complete")
+	errClientDisconnected     = errors.New("client disconnected")
 )
 
-// slot is the place of one answer in the order of its connection.
+// slot is the place of one answer in the sequence of answers of a connection.
 type slot struct {
-	request *request // nil for what needs no backend
+	request *request // nil for an answer that needs no backend
 	data    []byte
 	filled  bool
 }
 
-// client is a client's connection. A reader takes commands off it and starts
-// them at once; a writer sends the answers in the order of the commands.
+// client is the connection of a client. A reader goroutine parses pipelined
+// commands and starts them at once; a writer goroutine sends the answers in the
+// order of the commands.
 //
-// The reader alone decides that the connection ends. Whatever it has read it
-// answers, and what comes after that decision stays unread: the client then
-// knows that nobody has taken it, and sends it elsewhere.
+// Only the reader decides to close the connection. Every command that has been read
+// is answered. Bytes that arrive after that decision stay unread, so that the
+// client can tell that its command was not accepted and send it to another ingress.
 type client struct {
 	server          *Server
-	id              uint64 // in the log
+	id              uint64 // identifies the connection in the log
 	nc              net.Conn
 	opened          time.Time
-	writerWake      chan struct{} // the writer has something to do
-	slotFreed       chan struct{} // a place for an answer has become free
-	writerDone      chan struct{} // closed when the writer has ended
-	invalidCommands atomic.Int32  // wrong commands so far
+	writerWake      chan struct{} // signals that the writer has something to do
+	slotFreed       chan struct{} // signals that the writer has removed slots from pending
+	writerDone      chan struct{} // closed when the writer has returned
+	invalidCommands atomic.Int32  // number of invalid commands so far
 
 	mu               sync.Mutex
-	pending          []*slot
-	answers          int // answers so far
-	lastActive       time.Time
-	writerStarted    bool // the writer runs, or has run
-	sentRequest      bool // has sent a request that could be taken
-	sentCommand      bool // has sent a whole command
-	sending          bool // the writer has answers that it has not written yet
-	pipelineFull     bool // the reader waits for a place
-	evicted          bool // to be closed to make room, if it is still idle
-	draining         bool // closes between requests
-	firstCommandOnly bool // takes no further command if it has sent one
-	readingStopped   bool // reads nothing more
-	closing          bool // takes no further command, and ends when all is answered
-	closed           bool
-	closeErr         error // of the last write
+	pending          []*slot   // commands not answered yet, in order
+	answers          int       // number of commands that were given a slot so far
+	lastActive       time.Time // when an answer was last written, at first when opened
+	writerStarted    bool      // the writer runs or has run
+	sentRequest      bool      // the client has sent a valid request
+	sentCommand      bool      // the client has sent a complete command
+	sending          bool      // the writer holds answers that it has not written yet
+	pipelineFull     bool      // the reader waits for a free slot
+	evicted          bool      // to be closed to make room, if still idle
+	draining         bool      // to be closed when no request is open
+	firstCommandOnly bool      // accepts a command only if it is the first
+	readingStopped   bool      // reads nothing more from the connection
+	closing          bool      // closes once all pending commands are answered
+	closed           bool      // answers can no longer be written
+	closeErr         error     // result of the last write, or why closeNow closed it
 }
 
 func newClient(s *Server, nc net.Conn) *client {
 	now := time.Now()
-	return &client{server: s, id: s.lastClient.Add(1), nc: nc, opened: now, lastActive: now, writerWake: make(chan struct{}, 1),
-		slotFreed: make(chan struct{}, 1), writerDone: make(chan struct{})}
+	return &client{server: s, id: s.lastClient.Add(1), nc: nc, opened: now, lastActive: now,
+		writerWake: make(chan struct{}, 1), slotFreed: make(chan struct{}, 1), writerDone: make(chan struct{})}
 }
 
+// notify sends a signal on a channel of capacity 1, unless one is already queued.
 func notify(ch chan struct{}) {
 	select {
 	case ch <- struct{}{}:
@@ -94,12 +114,14 @@
 	}
 }
 
-// standing tells how much a connection matters.
+// evictionRank orders connections for eviction: those that have never sent a valid
+// request come first, then those that have been idle for longer.
 type evictionRank struct {
 	sentRequest bool
 	lastActive  time.Time
 }
 
+// before reports whether a connection of this rank is evicted before one of the other.
 func (rank evictionRank) before(other evictionRank) bool {
 	if rank.sentRequest != other.sentRequest {
 		return other.sentRequest
@@ -107,7 +129,7 @@
 	return rank.lastActive.Before(other.lastActive)
 }
 
-// standing tells too whether the connection may be closed now.
+// evictionRank returns the rank of the connection, and whether it may be evicted now.
 func (c *client) evictionRank(now time.Time) (rank evictionRank, evictable bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -116,16 +138,18 @@
 		minIdle = idleLeast
 	}
 	return evictionRank{c.sentRequest, c.lastActive},
-		len(c.pending) == 0 && !c.sending && !c.closing && !c.draining && !c.evicted && now.Sub(c.lastActive) >= minIdle
+		len(c.pending) == 0 && !c.sending && !c.closing && !c.draining && !c.evicted &&
+			now.Sub(c.lastActive) >= minIdle
 }
 
-// nudge makes the reader look up from what it waits for. c.mu is held.
+// interruptRead makes a blocked read of the connection return, so that the reader
+// checks the state of the client again. The caller holds c.mu.
 func (c *client) interruptRead() {
 	c.nc.SetReadDeadline(longAgo)
 }
 
-// startWriter starts the writer with the first that it has to do: most
-// connections of bad clients never give it anything.
+// startWriter starts the writer with the first answer: most connections of
+// misbehaving clients never need one. The caller holds c.mu.
 func (c *client) startWriter() {
 	if !c.writerStarted {
 		c.writerStarted = true
@@ -133,14 +157,15 @@
 	}
 }
 
-// fill gives a slot its answer. It does not block.
+// fill stores the answer of a slot, and wakes the writer if it is the next to be
+// written. It does not block.
 func (c *client) fill(s *slot, data []byte) {
 	c.mu.Lock()
 	if c.closed {
 		c.mu.Unlock()
 		return
 	}
-	c.server.loop.memory.forceReserve(len(data)) // until it is written
+	c.server.loop.memory.forceReserve(len(data)) // released when written
 	s.data, s.filled = data, true
 	first := len(c.pending) > 0 && c.pending[0] == s
 	c.mu.Unlock()
@@ -149,7 +174,8 @@
 	}
 }
 
-// push appends a slot. The reader has seen to it that there is a place.
+// push appends a slot to the pending ones. The reader has checked that the pipeline
+// is not full. A command cancels an eviction of the connection.
 func (c *client) push(s *slot) {
 	c.mu.Lock()
 	c.pending = append(c.pending, s)
@@ -164,7 +190,8 @@
 	}
 }
 
-// abandoned returns the requests that still waited for an answer.
+// dropPending discards all pending slots, releases the memory of their answers, and
+// returns the requests that were not answered yet.
 func (c *client) dropPending() (unanswered []*request) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -178,7 +205,8 @@
 	return unanswered
 }
 
-// read takes commands until the client leaves, or sends what can't be read.
+// serve reads commands until the connection is to be closed, sends the answers that
+// are still due, and closes it. It is the reader goroutine of the connection.
 func (c *client) serve() {
 	c.server.cfg.Log.ClientOpened(c.id)
 	err := c.readCommands()
@@ -203,20 +231,21 @@
 	c.server.remove(c)
 }
 
-// input is what the reader has read and not started yet.
+// input holds the bytes that the reader has read and not yet parsed into commands.
 type input struct {
 	buf          []byte
-	arrivals     arrivals  // when its bytes did
-	completeBy   time.Time // by when what has begun has to be whole; zero: nothing has
-	blockedUntil time.Time // no command is started before
-	pipelineFull bool      // none is started until the writer has made a place
+	arrivals     arrivals  // when the bytes of buf arrived
+	completeBy   time.Time // when the next command has to be complete; zero: no limit
+	blockedUntil time.Time // no command is started before this time
+	pipelineFull bool      // no command is started until the writer has freed a slot
 }
 
-// take starts the commands as they come. While none may be started it reads on,
-// as far as there is room: a client that leaves meanwhile must be noticed.
+// readCommands reads and starts commands as they arrive, and returns the reason why
+// it stops. While no command may be started it goes on reading as far as the buffer
+// has room, in order to detect a client that disconnects.
 func (c *client) readCommands() error {
-	// A client that says nothing, or half a command and no more, would keep
-	// its descriptor for good.
+	// Without a limit, a client that sends nothing, or only part of a command,
+	// would hold its file descriptor forever.
 	in := input{buf: make([]byte, 0, readBuffer), completeBy: c.opened.Add(firstCommandTimeout)}
 	defer func() { c.server.loop.memory.release(cap(in.buf) - readBuffer) }()
 	for {
@@ -250,24 +279,24 @@
 	}
 }
 
-// ends tells why the connection is over for the reader, and otherwise sets how
-// long it may wait for more. held tells that no command may be started now.
+// prepareRead returns the reason to stop reading. If there is none, it sets the read
+// deadline for the next read. blocked means that no command may be started now.
 func (c *client) prepareRead(in *input, blocked bool) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	idle := len(c.pending) == 0 && !c.sending
 	switch {
 	case blocked:
-	case idle && c.evicted && len(in.buf) == 0: // a command that has begun is use
+	case idle && c.evicted && len(in.buf) == 0: // a partial command keeps it in use
 		return errEvicted
-	case c.readingStopped && !c.sentCommand && waiting(c.nc): // its first command is here already
+	case c.readingStopped && !c.sentCommand && waiting(c.nc): // the first command has already arrived
 		c.nc.SetReadDeadline(time.Now().Add(finalReadTimeout))
 		return nil
 	case c.readingStopped && len(in.buf) > 0:
 		return errIncompleteCommand
 	case c.readingStopped:
 		return errReadingStopped
-	case !c.sentCommand || len(in.buf) > 0: // what a new connection is opened for is still to come
+	case !c.sentCommand || len(in.buf) > 0: // the first or a partial command is still to come
 	case c.firstCommandOnly:
 		return errFirstCommandOnly
 	case idle && c.draining:
@@ -278,22 +307,23 @@
 	case !blocked:
 	case !in.pipelineFull:
 		deadline = in.blockedUntil
-	case !c.pipelineFull: // the writer has made a place meanwhile
+	case !c.pipelineFull: // the writer has freed a slot since
 		deadline = longAgo
 	}
 	c.nc.SetReadDeadline(deadline)
 	return nil
 }
 
-// readsNoMore tells that nothing is read but what has been read already.
+// isReadingStopped reports whether nothing more is read from the connection. Commands
+// that are already in the buffer are still started.
 func (c *client) isReadingStopped() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.readingStopped
 }
 
-// stand waits without reading on, until a command may be started again. It
-// returns false if the client leaves before.
+// waitUnblocked waits, without reading, until a command may be started again. It
+// returns false if the client disconnects before a slot is free.
 func (c *client) waitUnblocked(in *input) bool {
 	if in.pipelineFull {
 		return !peerClosedBefore(c, c.slotFreed)
@@ -302,8 +332,9 @@
 	return true
 }
 
-// refit makes a buffer of what is left of buf, with room to read on, unless
-// what is left may not be started yet and there is no memory for more.
+// resizeBuffer returns a buffer that holds the remaining bytes of buf and has room
+// for the next read. A full buffer that may not grow for want of memory stays full
+// while commands are blocked; otherwise resizeBuffer fails with errNoMemory.
 func (c *client) resizeBuffer(buf, remaining []byte, blocked bool) ([]byte, error) {
 	budget := c.server.loop.memory
 	switch {
@@ -323,8 +354,9 @@
 	return buf[:copy(buf[:cap(buf)], remaining)], nil
 }
 
-// commands starts all whole commands that may be started, keeps what is left
-// of the input, and makes room to read on. held tells that more may be whole.
+// startCommands starts all complete commands that may be started, keeps the rest of
+// the input, and makes room for the next read. blocked means that the rest may hold
+// complete commands that may not be started yet.
 func (c *client) startCommands(in *input) (blocked bool, err error) {
 	buf := in.buf
 	for len(buf) > 0 {
@@ -344,15 +376,15 @@
 		}
 		buf = buf[n:]
 		arrivedAt := in.arrivals.consume(n)
-		if len(args) == 0 { // an empty array asks for nothing
+		if len(args) == 0 { // an empty array is no command
 			continue
 		}
 		invalid := c.startCommand(args, n, arrivedAt)
 		if invalid == nil {
 			continue
 		}
-		// Bounded for each connection, so that who sends nonsense as fast as
-		// it is turned away leaves the CPU to the others.
+		// Invalid commands are limited for each connection: a client that sends
+		// them as fast as they are rejected would take the CPU from the others.
 		count := c.invalidCommands.Add(1)
 		if count >= maxInvalidCommands {
 			return false, errTooManyInvalidCommands
@@ -372,25 +404,29 @@
 	return blocked, err
 }
 
-// barred tells that no command may be started now: wrong ones have come before,
-// or there is no place for one more answer. Then the writer wakes the reader
-// when there is.
+// commandsBlocked reports whether no command may be started now, either because of
+// the delay after an invalid command or because the pipeline is full, and whether the
+// connection is closed. When the pipeline is full, the writer wakes the reader as soon
+// as it has freed a slot.
 func (c *client) commandsBlocked(in *input) (blocked, closed bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.pipelineFull = len(c.pending) >= maxPipelinedCommands
 	in.pipelineFull = c.pipelineFull
-	return c.pipelineFull || !c.readingStopped && !in.blockedUntil.IsZero() && time.Now().Before(in.blockedUntil), c.closed
+	return c.pipelineFull ||
+		!c.readingStopped && !in.blockedUntil.IsZero() && time.Now().Before(in.blockedUntil), c.closed
 }
 
-// known tells whether the client has sent a whole command.
+// hasSentCommand reports whether the client has sent a complete command.
 func (c *client) hasSentCommand() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.sentCommand
 }
 
-// command starts a command, or tells what is wrong with it.
+// startCommand answers a PING, or hands a request to the loop. It returns an error,
+// worded for the client, if the command is invalid. size is the command's length in
+// bytes, and arrivedAt is when its last byte arrived.
 func (c *client) startCommand(args [][]byte, size int, arrivedAt time.Time) (invalid error) {
 	if equalFold(args[0], "PING") {
 		if !c.server.loop.ready.Load() {
@@ -406,20 +442,22 @@
 	}
 	budget := c.server.loop.memory
 	if !budget.reserve(size) {
-		// Nothing has run; holding more would end the whole process.
+		// The request has not been started, so the client may retry it. Holding
+		// more requests could run the process out of memory.
 		c.reply(c.server.busy())
 		return nil
 	}
 	cmd.args = copyArgs(args, size)
 	timeLimit := min(cmd.timeLimit, c.server.cfg.Choice.Classes[cmd.class].Deadline)
-	r := &request{command: cmd, size: size, from: c, deadline: arrivedAt.Add(timeLimit - min(answerMargin, timeLimit/marginPart))}
+	r := &request{command: cmd, size: size, from: c,
+		deadline: arrivedAt.Add(timeLimit - min(answerMargin, timeLimit/marginPart))}
 	r.slot = &slot{request: r}
 	c.push(r.slot)
 	c.server.loop.post(func(l *loop) { l.request(r) })
 	return nil
 }
 
-// own copies the parts out of the read buffer.
+// copyArgs copies the arguments out of the read buffer into one allocation.
 func copyArgs(args [][]byte, size int) [][]byte {
 	block := make([]byte, 0, size)
 	for i, a := range args {
@@ -430,16 +468,19 @@
 	return args
 }
 
+// reply answers a command without asking a backend.
 func (c *client) reply(data []byte) {
 	c.push(&slot{data: data, filled: true})
 	c.server.loop.memory.forceReserve(len(data))
 	notify(c.writerWake)
 }
 
-// refuse answers what is no valid request.
+// replyError answers an invalid command, or input that closes the connection.
 func (c *client) replyError(err error) { c.reply(redcon.AppendError(nil, "ERR "+err.Error())) }
 
-// write sends the answers in order.
+// writeLoop sends the answers in the order of their commands. It is the writer
+// goroutine of the connection, and returns when the connection is closed or, once the
+// client is closing, after the last answer, having closed the sending direction.
 func (c *client) writeLoop() {
 	defer close(c.writerDone)
 	var out []byte
@@ -477,11 +518,11 @@
 			c.mu.Lock()
 			c.sending, c.closed, c.closeErr = false, c.closed || err != nil, err
 			if (c.draining || c.evicted) && len(c.pending) == 0 && !c.closing {
-				c.interruptRead() // the connection may be between requests
+				c.interruptRead() // the connection is idle and may be closed
 			}
 			c.mu.Unlock()
 			if err != nil {
-				c.nc.Close() // the reader notices
+				c.nc.Close() // makes the reader return
 				notify(c.slotFreed)
 				return
 			}
--- a/internal/ingress/client_end.go
+++ b/internal/ingress/client_end.go
@@ -14,10 +14,11 @@
 	"cedarseam/internal/eventlog"
 )
 
-// The end of a client's connection: who asks for it, and what happens between the
-// reader's decision and the close.
+// The close of a client's connection: the requests to close it, and the steps between
+// the reader's decision and the close.
 
-// evict closes the connection at once, unless a command has come just now.
+// evict makes the reader close the connection if it is still idle. A command that
+// arrives first cancels the eviction.
 func (c *client) evict() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -25,8 +26,9 @@
 	c.interruptRead()
 }
 
-// drain closes the connection between requests. Once halted it takes no further
-// one, but for the first on a new connection.
+// drain makes the reader close the connection when no request is open. With
+// firstCommandOnly set, a connection that has sent a command accepts no further one,
+// even while requests are open; a new one still accepts its first.
 func (c *client) drain(firstCommandOnly bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -34,7 +36,7 @@
 	c.interruptRead()
 }
 
-// stopReading ends the connection once all that was read is started and answered.
+// stopReading closes the connection once all commands that were read are answered.
 func (c *client) stopReading() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -42,15 +44,16 @@
 	c.interruptRead()
 }
 
-// closeNow closes the connection, whatever is due.
+// closeNow closes the connection without waiting for pending answers.
 func (c *client) closeNow() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.closeErr = fmt.Errorf("the process ends with %d answers not taken", len(c.pending))
+	c.closeErr = fmt.Errorf("the ingress stopped with %d answers not sent", len(c.pending))
 	c.nc.Close()
 }
 
-// logClose writes why the connection ends, before it does.
+// logClose logs why the connection is closed. It runs before the close, because it
+// also checks for unread bytes.
 func (c *client) logClose(reason error) {
 	log := c.server.cfg.Log
 	if !log.Detailed() {
@@ -63,8 +66,9 @@
 		Answers: answers, Unread: waiting(c.nc)})
 }
 
-// finish lets the writer send the answers still due: a connection that closes
-// under them loses requests. It returns sooner if the client leaves.
+// flushAndLinger lets the writer send the answers that are still due, and waits until
+// the client has received them: closing the connection earlier would lose answers. It
+// returns early if the client disconnects. An evicted connection owes no answers.
 func (c *client) flushAndLinger() {
 	c.mu.Lock()
 	c.closing = true
@@ -81,9 +85,9 @@
 	c.linger()
 }
 
-// linger waits until the last answers have arrived, or the client has left: what
-// crosses the end turns it into a reset, which must not overtake them, and which
-// throws away what the client's machine has not taken yet.
+// linger waits until the last answers have been delivered, or the client has
+// disconnected. If the client sends more bytes around the close, the close becomes a
+// TCP reset, which discards data that the client's host has not acknowledged yet.
 func (c *client) linger() {
 	deadline := time.Now().Add(lingerTimeout)
 	c.nc.SetReadDeadline(deadline)
@@ -101,8 +105,9 @@
 	}
 }
 
-// watch waits until the client leaves, or sends something, or the deadline has
-// passed. It takes nothing off the connection.
+// waitReadable waits until the client sends bytes or disconnects, or until the read
+// deadline has passed. It consumes nothing, and reports whether the client has
+// disconnected.
 func (c *client) waitReadable() (closed bool) {
 	raw, err := c.nc.(syscall.Conn).SyscallConn()
 	if err != nil {
@@ -117,8 +122,9 @@
 	return closed || err != nil && !errors.Is(err, os.ErrDeadlineExceeded)
 }
 
-// leaves waits for done, and tells whether the client has left before. What it
-// has sent and nobody reads hides its end, so the connection itself is asked.
+// peerClosedBefore waits for done, and reports whether the client disconnected first.
+// Unread bytes hide the end of the stream from a read, so the state of the TCP
+// connection is polled instead.
 func peerClosedBefore[T any](c *client, done <-chan T) bool {
 	check := time.NewTicker(peerCloseCheckInterval)
 	defer check.Stop()
@@ -134,7 +140,8 @@
 	}
 }
 
-// left tells whether the other side has closed the connection, read or not.
+// peerClosed reports whether the peer has closed the connection, even if unread bytes
+// precede the end of the stream.
 func peerClosed(nc net.Conn) bool {
 	info, err := tcpInfo(nc)
 	switch {
@@ -145,14 +152,14 @@
 	}
 	switch info.State {
 	case unix.BPF_TCP_CLOSE, unix.BPF_TCP_CLOSE_WAIT,
-		unix.BPF_TCP_CLOSING, unix.BPF_TCP_LAST_ACK, unix.BPF_TCP_TIME_WAIT: // and this side before
+		unix.BPF_TCP_CLOSING, unix.BPF_TCP_LAST_ACK, unix.BPF_TCP_TIME_WAIT: // this side closed first
 		return true
 	}
 	return false
 }
 
-// undelivered tells whether the other side's machine has not taken all that was
-// written yet.
+// hasUndeliveredData reports whether the peer's host has not yet acknowledged all that
+// was written.
 func hasUndeliveredData(nc net.Conn) bool {
 	info, err := tcpInfo(nc)
 	if err != nil || info.State == unix.BPF_TCP_CLOSE {
@@ -161,11 +168,12 @@
 	return info.Unacked > 0 || info.Notsent_bytes > 0
 }
 
-// errUnknown means that the system does not tell the state of a connection.
-var errStateUnknown = errors.New("the state of the connection is not known")
+// errStateUnknown means that the operating system does not provide the state of a
+// connection.
+var errStateUnknown = errors.New("the state of the connection is unknown")
 
-// tcpInfo asks the system for the state of a connection. An error other than
-// errUnknown means that it is closed on this side.
+// tcpInfo returns the operating system's TCP_INFO of a connection. An error other than
+// errStateUnknown means that the connection is closed on this side.
 func tcpInfo(nc net.Conn) (info *unix.TCPInfo, err error) {
 	raw, err := nc.(syscall.Conn).SyscallConn()
 	if err != nil {
--- a/internal/ingress/command.go
+++ b/internal/ingress/command.go
@@ -15,19 +15,19 @@
 )
 
 const (
-	maxValueBytes   = 64 << 10             // bytes of one value
-	maxMessageBytes = maxValueBytes + 4096 // bytes of one command or answer, the largest value among them
-	maxMetricsBytes = 2048                 // bytes of a load report or the figures on use
+	maxValueBytes   = 64 << 10             // of one argument or value
+	maxMessageBytes = maxValueBytes + 4096 // of a whole command or answer
+	maxMetricsBytes = 2048                 // of a load report or a usage report
 	maxArgs         = 16                   // of a command
-	maxDigits       = 15                   // of a number
-	answerElements  = 3
-	maxUsedPercent  = 10_000  // percent: no customer uses a hundred times his quota
-	maxLoadValue    = 100_000 // requests held, or milliseconds of service
+	maxDigits       = 15                   // of a number, including the decimal point
+	answerElements  = 3                    // of an answer with a value
+	maxUsedPercent  = 10_000               // no customer uses a hundred times its quota
+	maxLoadValue    = 100_000              // requests in flight, or milliseconds of latency
 )
 
-// nextCommand takes the first whole command off buf; n is 0 while it is not
-// whole. The parts lie in buf. What is too long is refused by its length line,
-// before any of it is waited for.
+// nextCommand parses the first command in buf, and returns its arguments, which are
+// slices of buf, and its length n. n is 0 while the command is incomplete. A command
+// that is too long is rejected by its length line, before its data arrives.
 func nextCommand(buf []byte) (args [][]byte, n int, err error) {
 	if len(buf) == 0 {
 		return nil, 0, nil
@@ -53,27 +53,27 @@
 	return args, at, nil
 }
 
-// command is one request of a client, decoded. All its values are in range: a
-// backend turns away what it can't use, and a customer's record must not
-// change by what is no request of his.
+// command is a decoded request of a client. All its values are in range: a backend
+// would reject invalid ones, and an invalid request must not change the recorded use
+// of a customer.
 type command struct {
 	args                         [][]byte // as the client sent them
-	timeLimitStart, timeLimitEnd int      // where the value of d stands in the options
-	class, plan                  int
+	timeLimitStart, timeLimitEnd int      // the position of the value of d in the options
+	class, plan                  int      // indexes into the settings
 	customer                     uint64
-	requestID                    uint64 // the client's id, new with every try
+	requestID                    uint64 // chosen by the client, new with every retry
 	timeLimit                    time.Duration
-	units                        float64
-	spread, first                int
-	repeat                       bool
+	units                        float64 // drawn from the customer's quota
+	spread, first                int     // size and first member of the customer's gateway set
+	repeat                       bool    // a retry by the client after another gateway's refusal
 }
 
 const (
-	optionsArg  = 3
-	maxCustomer = 1 << 33
+	optionsArg  = 3       // index of the options among the arguments
+	maxCustomer = 1 << 33 // customer numbers are below this
 )
 
-// parseCommand decodes a Q.ASK or Q.DO. Its error is worded for the client.
+// parseCommand decodes a Q.ASK or Q.DO. The text of its error is sent to the client.
 func (cfg *Config) parseCommand(args [][]byte) (*command, error) {
 	isAsk := equalFold(args[0], "Q.ASK")
 	switch {
@@ -108,7 +108,7 @@
 			return nil, errors.New("bad options")
 		}
 		opt := optionNames[name]
-		if seen&opt != 0 { // which of the two would a backend believe?
+		if seen&opt != 0 { // a backend might use either of the two values
 			return nil, fmt.Errorf("%s stands twice", name)
 		}
 		seen |= opt
@@ -157,7 +157,7 @@
 	return c, nil
 }
 
-// option is one of the names in a request's options, as a bit.
+// option is a bit set of the names in the options of a request.
 type option uint
 
 const (
@@ -169,15 +169,16 @@
 	optFirst
 	optRepeat
 
-	optRequired = optRepeat - 1
+	optRequired = optRepeat - 1 // all options but optRepeat
 )
 
-var optionNames = map[string]option{"c": optClass, "t": optPlan, "d": optTimeLimit, "units": optUnits,
-	"spread": optSpread, "first": optFirst, "r": optRepeat}
+var optionNames = map[string]option{"c": optClass, "t": optPlan, "d": optTimeLimit,
+	"units": optUnits, "spread": optSpread, "first": optFirst, "r": optRepeat}
 
-// equalFold compares a command's name, which may be written in any case.
+// equalFold reports whether a is the name of the command, in any case.
 func equalFold(a []byte, name string) bool { return strings.EqualFold(string(a), name) }
 
+// parseHex parses exactly 16 hexadecimal digits.
 func parseHex(b []byte) (uint64, error) {
 	if len(b) != 16 {
 		return 0, errMalformed
@@ -185,8 +186,8 @@
 	return strconv.ParseUint(string(b), 16, 64)
 }
 
-// parseDecimal reads digits with at most one point inside, and nothing else
-// that a float could be: no sign, exponent, infinity, hexadecimal or underscore.
+// parseDecimal parses digits with at most one decimal point among them. Other notations
+// of a float are invalid: sign, exponent, infinity, hexadecimal and underscores.
 func parseDecimal(s string) (float64, error) {
 	integer, fraction, hasPoint := strings.Cut(s, ".")
 	if len(s) > maxDigits || !allDigits(integer) || hasPoint && !allDigits(fraction) {
@@ -195,7 +196,7 @@
 	return strconv.ParseFloat(s, 64)
 }
 
-// parseCount reads a whole number from least to most.
+// parseCount parses an integer between lower and upper, inclusive.
 func parseCount(s string, lower, upper int) (int, error) {
 	if len(s) > maxDigits || !allDigits(s) {
 		return 0, errMalformed
@@ -207,6 +208,7 @@
 	return v, err
 }
 
+// allDigits reports whether s consists of at least one ASCII digit and nothing else.
 func allDigits(s string) bool {
 	for i := range len(s) {
 		if s[i] < '0' || s[i] > '9' {
@@ -216,8 +218,8 @@
 	return len(s) > 0
 }
 
-// appendTo appends the command for a backend: as the client sent it, with the
-// time that the ingress will wait.
+// appendTo appends the command as it is sent to a backend: the client's arguments, with
+// the time limit replaced by the timeout of the attempt.
 func (c *command) appendTo(b []byte, timeout time.Duration) []byte {
 	b = redcon.AppendArray(b, len(c.args))
 	for i, a := range c.args {
@@ -232,18 +234,18 @@
 	return b
 }
 
-// reply is what a backend answered to a request or a probe.
+// reply is the answer of a backend to a request or a probe.
 type reply struct {
 	status  choice.Status
-	value   []byte // the value, encoded as a bulk string
-	metered bool
-	used    float64
-	load    choice.Load
+	value   []byte      // the value, encoded as a bulk string
+	metered bool        // used is valid
+	used    float64     // the customer's use, as a fraction of its quota
+	load    choice.Load // the load report; N is 0 if there was no valid one
 }
 
-// nextReply takes the first whole answer off buf; n is 0 while it is not
-// whole. An error tells that it can never be read: waiting for more would hold
-// the request until its time is up. The value is a copy.
+// nextReply parses the first answer in buf, and returns its length n, which is 0 while
+// the answer is incomplete. An error means that more input can't make it valid, so that
+// the request need not wait for its deadline. The value is a copy.
 func (cfg *Config) nextReply(buf []byte) (r reply, n int, err error) {
 	r.status = choice.Error
 	if len(buf) == 0 {
@@ -252,7 +254,7 @@
 	switch buf[0] {
 	case '*':
 		return cfg.parseValueReply(buf)
-	case '$': // the answer to a probe
+	case '$': // answer to a probe
 		data, n, err := parseBulkOrNull(buf, maxMetricsBytes)
 		if n > 0 && data != nil {
 			r.status = choice.OK
@@ -265,7 +267,7 @@
 			return r, 0, err
 		}
 		words := bytes.Fields(text)
-		// A line that is spoilt proves nothing, whatever it begins with.
+		// A corrupted line is no proof of a refusal, even if it begins with BUSY.
 		if len(words) > 0 && string(words[0]) == "BUSY" && isPrintable(text) {
 			r.status = choice.Refused
 		}
@@ -280,9 +282,9 @@
 	return r, 0, errMalformed
 }
 
-// served takes an answer with a value: the value, the figures on use and the
-// load report. The latter two may be null, and are left out if they can't be
-// read; the value is as good without them.
+// parseValueReply parses an answer with a value: an array of the value, the usage
+// report and the load report. The reports may be null, and are ignored if they are
+// invalid: the value is still usable without them.
 func (cfg *Config) parseValueReply(buf []byte) (r reply, n int, err error) {
 	r.status = choice.Error
 	count, n, err := parseLength(buf)
@@ -316,9 +318,9 @@
 	return r, n, nil
 }
 
-// note takes figures such as used=37 or inflight=7,latency_ms=12 into r. Those
-// that can't be read, or are beyond reason, are left out with all that stands
-// beside them: what is spoilt in one place is not to be believed in another.
+// parseMetrics stores metrics such as used=37 or inflight=7,latency_ms=12 in r. If one
+// of them is malformed or out of range, all metrics of the list are ignored: they may
+// be corrupted too.
 func (cfg *Config) parseMetrics(r *reply, metrics []byte) {
 	if bytes.IndexByte(metrics, '=') < 0 {
 		return
--- a/internal/ingress/frame.go
+++ b/internal/ingress/frame.go
@@ -5,14 +5,14 @@
 	"errors"
 )
 
-// The frames of RESP2, read strictly: each function tells at once what can
-// never become whole. A reader that takes it for not whole yet would go on
-// waiting, and buffering, for as long as the other side likes. Each returns
-// n = 0 while what it reads is not whole.
+// Strict parsers for the frames of RESP2. Each returns n = 0 while its input is
+// incomplete, and an error as soon as the input can't become valid: treating it as
+// incomplete would make the reader wait, and buffer, for as long as the peer keeps
+// the connection open.
 
 const (
-	maxLengthDigits = 9
-	maxLineBytes    = 1024 // bytes of an error line or a simple string
+	maxLengthDigits = 9    // in a length line
+	maxLineBytes    = 1024 // of an error or a simple string
 )
 
 var (
@@ -21,7 +21,7 @@
 	nullLength   = []byte("-1\r\n")
 )
 
-// length reads the line behind a type byte: digits alone, or -1 for a null.
+// parseLength parses the length line after a type byte: only digits, or -1 for a null.
 func parseLength(buf []byte) (value, n int, err error) {
 	rest := buf[1:]
 	if bytes.HasPrefix(rest, nullLength) {
@@ -45,7 +45,7 @@
 	return 0, 0, nil
 }
 
-// bulk reads a bulk string of at most so many bytes.
+// parseBulk parses a bulk string of at most maxBytes. A null is malformed.
 func parseBulk(buf []byte, maxBytes int) (data []byte, n int, err error) {
 	data, n, err = parseBulkOrNull(buf, maxBytes)
 	if n > 0 && data == nil {
@@ -54,7 +54,8 @@
 	return data, n, err
 }
 
-// bulkOrNull reads a bulk string; a null has no data.
+// parseBulkOrNull parses a bulk string of at most maxBytes, or a null, for which data
+// is nil.
 func parseBulkOrNull(buf []byte, maxBytes int) (data []byte, n int, err error) {
 	if len(buf) == 0 {
 		return nil, 0, nil
@@ -84,7 +85,7 @@
 	return buf[start:end:end], end + 2, nil
 }
 
-// line reads the line behind a type byte.
+// parseLine parses the line after a type byte.
 func parseLine(buf []byte) (text []byte, n int, err error) {
 	end := bytes.IndexByte(buf[:min(len(buf), maxLineBytes)], '\n')
 	switch {
@@ -98,6 +99,7 @@
 	return buf[1 : end-1], end + 1, nil
 }
 
+// isPrintable reports whether the text consists of printable ASCII characters.
 func isPrintable(text []byte) bool {
 	for _, ch := range text {
 		if ch < ' ' || ch > '~' {
--- a/internal/ingress/log_test.go
+++ b/internal/ingress/log_test.go
@@ -56,7 +56,7 @@
 		fmt.Sprintf(`attempt sent" request=%s attempt=1 backend=s-1 kind=retry`, someID),
 		fmt.Sprintf(`attempt ended" request=%s attempt=1 backend=s-1 status=ok`, someID),
 		fmt.Sprintf(`request over" request=%s end=served reason=s-1 advice_ms=0 attempts=2`, someID),
-		`client closed" client=\d+ reason="the client is gone: EOF" age_ms=[\d.]+ answers=2`,
+		`client closed" client=\d+ reason="client disconnected: EOF" age_ms=[\d.]+ answers=2`,
 		`backend connection closed" backend=s-1 reason=`,
 	} {
 		if !regexp.MustCompile(want).MatchString(log.String()) {
--- a/internal/ingress/memory.go
+++ b/internal/ingress/memory.go
@@ -2,15 +2,16 @@
 
 import "sync/atomic"
 
-// memory counts the bytes that are held for clients: open requests, read
-// buffers beyond their usual size, and answers not written yet. Past the bound
-// requests are refused; held, they would end the whole process.
+// memoryBudget counts the bytes that are held for clients: open requests, read
+// buffers beyond their initial size, and answers not written yet. Requests over the
+// limit are refused: holding them could run the process out of memory.
 type memoryBudget struct {
 	used  atomic.Int64
 	limit int64
 }
 
-// take holds n bytes more, if there is room for them.
+// reserve adds n bytes, unless that would exceed the limit. It reports whether it has
+// added them.
 func (m *memoryBudget) reserve(n int) bool {
 	if m.used.Add(int64(n)) > m.limit {
 		m.release(n)
@@ -19,7 +20,8 @@
 	return true
 }
 
-// force holds n bytes that can't be refused any more.
+// forceReserve adds n bytes even over the limit, for data that can no longer be refused.
 func (m *memoryBudget) forceReserve(n int) { m.used.Add(int64(n)) }
 
+// release returns n reserved bytes to the budget.
 func (m *memoryBudget) release(n int) { m.used.Add(-int64(n)) }
