--- a/internal/ingress/client_test.go
+++ b/internal/ingress/client_test.go
@@ -41,7 +41,7 @@
 	c := r.dial()
 	c.write(encode("Q.ASK", anyone, "0000000000000001", lookup) +
 		encode("Q.ASK", anyone, "0000000000000002", lookup) + encode("PING"))
-	one, two := wait(t, "a request", b.got), wait(t, "the one behind it", b.got)
+	one, two := wait(t, "a request", b.got), wait(t, "the request after it", b.got)
 	if one.args[2] > two.args[2] {
 		one, two = two, one
 	}
@@ -73,11 +73,15 @@
 		{"Q.ASK", anyone, "", lookup},
 		{"Q.ASK", anyone, "+b1f03aa5c7e2d41", lookup},
 		ask("lookup", "order"), ask("basic", "team"),
-		ask("d=20000", "d=NaN"), ask("d=20000", "d=1e4"), ask("d=20000", "d=0"), ask("d=20000", "d=-5"), ask("d=20000", "d="),
-		ask("units=1", "units=-1"), ask("units=1", "units=0"), ask("units=1", "units=2"), ask("units=1", "units=1e0"),
-		ask("units=1", "units=0x1"), ask("units=1", "units=1."), ask("units=1", "units=many"), ask(",units=1", ""),
-		ask("spread=1", "spread=x"), ask("spread=1", "spread=0"), ask("spread=1", "spread=2"), ask("spread=1", "spread=+1"), ask(",spread=1", ""),
-		ask("first=0", "first=1"), ask("first=0", "first=-1"), ask("first=0", "first=0.0"), ask(",first=0", ""),
+		ask("d=20000", "d=NaN"), ask("d=20000", "d=1e4"), ask("d=20000", "d=0"),
+		ask("d=20000", "d=-5"), ask("d=20000", "d="),
+		ask("units=1", "units=-1"), ask("units=1", "units=0"), ask("units=1", "units=2"),
+		ask("units=1", "units=1e0"), ask("units=1", "units=0x1"), ask("units=1", "units=1."),
+		ask("units=1", "units=many"), ask(",units=1", ""),
+		ask("spread=1", "spread=x"), ask("spread=1", "spread=0"), ask("spread=1", "spread=2"),
+		ask("spread=1", "spread=+1"), ask(",spread=1", ""),
+		ask("first=0", "first=1"), ask("first=0", "first=-1"), ask("first=0", "first=0.0"),
+		ask(",first=0", ""),
 		ask("first=0", "first=0,r=2"), ask("first=0", "first=0,r=x"), ask("first=0", "first=0,r="),
 		ask("first=0", "first=0,units=1"), ask("first=0", "first=0,c=lookup"), ask("first=0", "first=0,d=5"),
 		{"Q.ASK", anyone, someID, "c=lookup,t=basic"},
@@ -91,20 +95,20 @@
 		if got := c.line(); !strings.HasPrefix(got, "-ERR ") {
 			t.Errorf("%.80q is answered %q, want -ERR", words, got)
 		}
-		c.send("PING") // the connection still serves
+		c.send("PING") // the connection is still served
 		c.want("+PONG")
 		c.nc.Close()
 	}
 	idle(t, "a forwarded request", b.got)
 	r.ask(func(l *loop) {
 		if len(l.requests) > 0 || l.lastID > 0 {
-			t.Error("the gateway was told of a wrong request")
+			t.Error("an invalid request reached the gateway")
 		}
 	})
 }
 
-// A client that sends nonsense as fast as it is turned away must not take the
-// CPU of the others.
+// A client that sends invalid commands as fast as they are rejected must not take the
+// CPU from other clients.
 func TestConnectionClosesAfterTooManyInvalidCommands(t *testing.T) {
 	r := newRig(t, nil, newBackend(t).member("b"))
 	c := r.dial()
@@ -119,12 +123,12 @@
 		}
 	}
 	if _, err := c.in.ReadByte(); err == nil {
-		t.Error("the connection goes on")
+		t.Error("the connection stays open")
 	}
 }
 
-// An id is new with every try. The copy of one that is open is a stranger's,
-// and the value made for the request must not go to him.
+// Clients choose a new request id for every retry. A second request with the id of an
+// open one comes from somebody else, who must not receive the value of the first.
 func TestDuplicateRequestIDIsRejected(t *testing.T) {
 	b := newBackend(t)
 	r := newRig(t, nil, b.member("b"))
@@ -133,15 +137,15 @@
 	got := wait(t, "the request", b.got)
 	other.send("Q.ASK", anyone, someID, lookup)
 	if got := other.line(); !strings.HasPrefix(got, "-ERR ") {
-		t.Errorf("the copy is answered %q, want -ERR", got)
+		t.Errorf("the duplicate is answered %q, want -ERR", got)
 	}
 	got.answer("v")
 	c.want("$1\r\nv")
-	other.send("Q.ASK", anyone, someID, lookup) // nor a moment after
+	other.send("Q.ASK", anyone, someID, lookup) // shortly after the first has ended
 	if got := other.line(); !strings.HasPrefix(got, "-ERR ") {
-		t.Errorf("the late copy is answered %q, want -ERR", got)
+		t.Errorf("the late duplicate is answered %q, want -ERR", got)
 	}
-	idle(t, "a copy sent on", b.got)
+	idle(t, "a forwarded duplicate", b.got)
 }
 
 func TestRecentIDsExpire(t *testing.T) {
@@ -156,39 +160,40 @@
 		}
 	}
 	if n := len(r.young) + len(r.older); n > 3 {
-		t.Errorf("%d ids are kept", n)
+		t.Errorf("%d ids are kept, want 3 at most", n)
 	}
 	r.remove(3)
 	if !r.add(3, 31) {
-		t.Error("a removed id is known")
+		t.Error("a removed id is still known")
 	}
 }
 
-// Who says nothing, or half a command, would keep a descriptor for good.
+// A client that sends nothing, or only part of a command, would otherwise hold a file
+// descriptor forever.
 func TestSilentConnectionsAndPartialCommandsTimeOut(t *testing.T) {
 	r := newRig(t, nil, newBackend(t).member("b"))
 	silent, partial, used := r.dial(), r.dial(), r.dial()
 	partial.write("*2\r\n$4\r\nPI")
 	used.send("PING")
 	used.want("+PONG")
-	for name, c := range map[string]*fakeClient{"silent": silent, "half": partial} {
+	for name, c := range map[string]*fakeClient{"silent": silent, "partial command": partial} {
 		if got := c.line(); !strings.HasPrefix(got, "-ERR ") {
 			t.Errorf("%s: answer %q, want -ERR", name, got)
 		}
 		c.wantEnd()
 	}
-	used.send("PING") // quiet for as long, but it has asked
+	used.send("PING") // silent for as long, but after a complete command
 	used.want("+PONG")
 	used.write("*1\r\n$4\r\nPI")
 	if got := used.line(); !strings.HasPrefix(got, "-ERR ") {
-		t.Errorf("half a command behind a whole one is answered %q, want -ERR", got)
+		t.Errorf("a partial command after a complete one is answered %q, want -ERR", got)
 	}
 	used.wantEnd()
 }
 
-// Frames that cannot be read end their connection after a plain error, and
-// nobody else notices. What is too long is refused by its length line: waiting
-// for 60 MB that come slowly would hold the connection for as long.
+// A malformed frame is answered with an error and closes its connection, without effect
+// on others. A frame that is too long is rejected by its length line: reading it would
+// hold the connection until 60 MB have arrived, however slowly.
 func TestMalformedFramesCloseOnlyTheirConnection(t *testing.T) {
 	b := newBackend(t)
 	r := newRig(t, nil, b.member("b"))
@@ -234,7 +239,7 @@
 	}
 	close(d.gate)
 	wait(t, "a watch", d.watched)
-	r.ask(func(*loop) {}) // what came before the watch has been taken
+	r.ask(func(*loop) {}) // the list that preceded the watch has been applied
 	c.send("PING")
 	c.want("+PONG")
 }
@@ -258,7 +263,7 @@
 	c.want("$1\r\nv")
 }
 
-// A client that has left must not keep its attempts going.
+// The attempts of a disconnected client must not go on.
 func TestClientDisconnectCancelsItsAttempts(t *testing.T) {
 	b := newBackend(t)
 	r := newRig(t, nil, b.member("b"))
@@ -267,26 +272,29 @@
 	got := wait(t, "the request", b.got)
 	c.nc.Close()
 	if nc := wait(t, "the end of the attempt", b.closed); nc != got.nc {
-		t.Error("another connection ended")
+		t.Error("a different backend connection was closed")
 	}
-	r.eventually("the request to be forgotten", func(l *loop) bool { return len(l.requests) == 0 })
+	r.eventually("the request to be removed", func(l *loop) bool { return len(l.requests) == 0 })
 }
 
 func TestRefusalCarriesRetryAdvice(t *testing.T) {
 	b := newBackend(t)
-	r := newRig(t, func(cfg *Config) { cfg.Choice.Plans[0].CeilingRate, cfg.Choice.Plans[0].CeilingBurst = 1e-9, 1 }, b.member("b"))
+	r := newRig(t, func(cfg *Config) {
+		cfg.Choice.Plans[0].CeilingRate, cfg.Choice.Plans[0].CeilingBurst = 1e-9, 1
+	}, b.member("b"))
 	c := r.dial()
 	c.send("Q.DO", anyone, newID(), payment, "BODY")
 	var ms int
 	if got := c.line(); !strings.HasPrefix(got, "-BUSY ") {
-		t.Errorf("over the ceiling the answer is %q", got)
+		t.Errorf("over the ceiling the answer is %q, want -BUSY", got)
 	} else if _, err := fmt.Sscanf(got, "-BUSY %d", &ms); err != nil || ms <= 0 || ms > 1000 {
-		t.Errorf("advice of %d ms, %v", ms, err)
+		t.Errorf("the advice is %d ms, want 1 to 1000; %v", ms, err)
 	}
 	idle(t, "a forwarded request", b.got)
 }
 
-// Open requests past the memory for them are refused; held, they would end the process.
+// Requests over the memory limit are refused: holding them could run the process out of
+// memory.
 func TestRequestsOverTheMemoryLimitAreRefused(t *testing.T) {
 	b := newBackend(t)
 	r := newRig(t, nil, b.member("b"))
@@ -297,38 +305,38 @@
 	first := wait(t, "the request", b.got)
 	c.send("Q.DO", anyone, newID(), payment, body)
 	c.send("PING")
-	r.waitForAnyClient("the commands to be taken", func(c *client) bool { return len(c.pending) == 3 })
+	r.waitForAnyClient("the commands to be read", func(c *client) bool { return len(c.pending) == 3 })
 	first.answer("v")
 	c.want("$1\r\nv")
 	c.want(refusal)
 	c.want("+PONG")
-	r.eventually("the memory to be free", func(l *loop) bool { return l.memory.used.Load() == 0 })
+	r.eventually("the memory to be released", func(l *loop) bool { return l.memory.used.Load() == 0 })
 	c.send("Q.DO", anyone, newID(), payment, body)
 	wait(t, "a request after the first has ended", b.got).answer("w")
 	c.want("$1\r\nw")
 }
 
-// unread takes what is left unread of a connection.
+// readUnread reads at least minBytes that are unread on a connection.
 func readUnread(t *testing.T, nc net.Conn, minBytes int) string {
 	t.Helper()
 	nc.SetReadDeadline(time.Now().Add(patience))
 	buf := make([]byte, 1000)
 	n, err := io.ReadAtLeast(nc, buf, minBytes)
 	if err != nil {
-		t.Errorf("of what came %d bytes are unread, %v", n, err)
+		t.Errorf("only %d bytes are unread: %v", n, err)
 	}
 	return string(buf[:n])
 }
 
-// readInput is what a reader has read and not started yet.
+// newInput returns the input of a reader that has just read the text.
 func newInput(text string) input {
 	in := input{buf: []byte(text)}
 	in.arrivals.add(len(text), time.Now())
 	return in
 }
 
-// A command that has been read just as its connection is to make room for
-// another has been taken: the client would not send it again.
+// A command that was read just before its connection is evicted must be answered: the
+// client has to assume that it was accepted, and would not send it again.
 func TestCommandReadBeforeEvictionIsAnswered(t *testing.T) {
 	r := newRig(t, nil, newBackend(t).member("b"))
 	b := newBench(t)
@@ -346,20 +354,20 @@
 	}
 	r.server.mu.Lock()
 	if r.server.leaving != 0 {
-		t.Error("the connection still counts as leaving")
+		t.Error("the connection is still counted as being evicted")
 	}
 	r.server.mu.Unlock()
 	go c.serve()
-	fmt.Fprint(b.far, encode("PING")) // it goes on
+	fmt.Fprint(b.far, encode("PING")) // the connection is still served
 	readUnread(t, b.far, len("+PONG\r\n"))
-	c.evict() // idle now, it is closed
+	c.evict() // now that it is idle, it is closed
 	if got, err := io.ReadAll(b.far); len(got) > 0 || err != nil {
-		t.Errorf("the client gets %q, %v; want the end", got, err)
+		t.Errorf("the client gets %q, %v; want the end of the stream", got, err)
 	}
 }
 
-// A connection on which a command has begun is in use, also if that came just as
-// it is to make room for another: the rest of the command is waited for.
+// A connection with a partial command is in use, even if the command began to arrive
+// just before the eviction: the rest of the command is awaited.
 func TestPartialCommandPreventsEviction(t *testing.T) {
 	r := newRig(t, nil, newBackend(t).member("b"))
 	b := newBench(t)
@@ -375,20 +383,21 @@
 	}
 	rest := newInput(whole)
 	if blocked, err := c.startCommands(&rest); err != nil || c.prepareRead(&rest, blocked) != nil {
-		t.Fatalf("the connection ends behind the command, %v", err)
+		t.Fatalf("the connection ends after the command, %v", err)
 	}
 	readUnread(t, b.far, len("+PONG\r\n"))
 	r.server.mu.Lock()
 	defer r.server.mu.Unlock()
 	if r.server.leaving != 0 {
-		t.Error("the connection still counts as leaving")
+		t.Error("the connection is still counted as being evicted")
 	}
 }
 
-// A command that crosses the end of its connection is not read: the client
-// then sends it elsewhere. Neither does it cost the answer before it.
+// A command that arrives after the reader has decided to close the connection stays
+// unread, so that the client sends it to another ingress. The answer before it must not
+// be lost.
 func TestCommandArrivingAfterCloseDecisionStaysUnread(t *testing.T) {
-	for name, firstCommandOnly := range map[string]bool{"drained": false, "halted": true} {
+	for name, firstCommandOnly := range map[string]bool{"draining": false, "first command only": true} {
 		r := newRig(t, nil, newBackend(t).member("b"))
 		b := newBench(t)
 		c := newClient(r.server, b.nc)
@@ -404,31 +413,32 @@
 		c.drain(firstCommandOnly)
 		late := encode("PING")
 		fmt.Fprint(b.far, late)
-		for b.quiet() { // until it has come
+		for b.quiet() { // until the command has arrived
 			time.Sleep(time.Millisecond)
 		}
 		if err := c.readCommands(); !errors.Is(err, errServerClose) {
-			t.Errorf("%s: the reader ends with %v", name, err)
+			t.Errorf("%s: the reader ends with %v, want errServerClose", name, err)
 		}
 		c.flushAndLinger()
 		if got := readUnread(t, b.nc, len(late)); got != late {
-			t.Errorf("%s: %q is left unread", name, got)
+			t.Errorf("%s: %q is left unread, want the late command", name, got)
 		}
 		if got, err := io.ReadAll(b.far); len(got) > 0 || err != nil {
-			t.Errorf("%s: the client gets %q, %v; want the end", name, got, err)
+			t.Errorf("%s: the client gets %q, %v; want the end of the stream", name, got, err)
 		}
 	}
 }
 
-// A connection in the listener's queue has been accepted by the machine: what
-// its client has written is taken, though the stop finds it there.
+// The operating system has already accepted the connections in the listener's queue, so
+// commands that clients have written to them must be answered, even if the ingress is
+// told to stop first.
 func TestQueuedConnectionsAreServedAfterStop(t *testing.T) {
 	b := newBackend(t)
 	r := newRig(t, func(cfg *Config) { cfg.Limits.Sockets, cfg.Choice.Probing = 20, false }, b.member("b"))
-	const clientLimit = 11 // of 20 descriptors
+	const clientLimit = 11 // with 20 descriptors
 	r.stopNow()
 	var clients []*fakeClient
-	for range clientLimit + 5 { // the last ones find no room
+	for range clientLimit + 5 { // the last ones wait in the queue
 		c := r.dial()
 		c.send("PING")
 		c.send("Q.DO", anyone, newID(), payment, "BODY")
@@ -458,9 +468,9 @@
 	}
 }
 
-// The writer may make a place just before the reader waits for one: what has
-// been read already must not wait for more to come. And a pause that is long
-// over must not keep a reader without a place busy.
+// The writer may free a slot just before the reader waits for one: commands in the
+// buffer must then start without waiting for further input. A delay after an invalid
+// command that is long over must not make a reader without a free slot spin.
 func TestReaderWaitsOnlyForAFreeSlot(t *testing.T) {
 	r := newRig(t, nil, newBackend(t).member("b"))
 	b := newBench(t)
@@ -473,15 +483,15 @@
 	c.pending = allSlots
 	blocked, err := c.startCommands(&in)
 	if !blocked || err != nil || c.prepareRead(&in, blocked) != nil {
-		t.Fatalf("with all places taken, held is %v, %v", blocked, err)
+		t.Fatalf("with a full pipeline, blocked is %v, error %v", blocked, err)
 	}
 	fmt.Fprint(b.far, "x")
 	if n, err := c.nc.Read(make([]byte, 1)); n != 1 {
-		t.Errorf("the reader does not wait: %v", err)
+		t.Errorf("the reader does not wait for input: %v", err)
 	}
 
 	if blocked, _ = c.startCommands(&in); !blocked {
-		t.Fatal("a command is started without a place")
+		t.Fatal("a command is started without a free slot")
 	}
 	c.mu.Lock() // as the writer does
 	c.pending, c.pipelineFull = nil, false
@@ -495,15 +505,15 @@
 		_, err := c.nc.Read(make([]byte, 1))
 		readDone <- err
 	}()
-	if err := wait(t, "the reader to look up", readDone); !errors.Is(err, os.ErrDeadlineExceeded) {
+	if err := wait(t, "the read to be interrupted", readDone); !errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Errorf("the reader ends with %v", err)
 	}
 	if blocked, err = c.startCommands(&in); blocked || err != nil || len(in.buf) > 0 {
-		t.Errorf("the command is not started: held %v, %v", blocked, err)
+		t.Errorf("the command is not started: blocked is %v, error %v", blocked, err)
 	}
 }
 
-// someClient waits until something holds of a connection of a client.
+// waitForAnyClient waits until the condition holds for at least one client connection.
 func (r *rig) waitForAnyClient(what string, condition func(*client) bool) {
 	r.Helper()
 	r.eventually(what, func(*loop) bool {
@@ -521,7 +531,8 @@
 	})
 }
 
-// patient makes a rig whose clients wait for longer than any test.
+// newLongDeadlineRig returns a rig whose requests may take longer than any test, and the
+// options of such a request.
 func newLongDeadlineRig(t *testing.T, b *fakeBackend) (r *rig, options string) {
 	r = newRig(t, func(cfg *Config) {
 		cfg.Choice.Probing = false
@@ -532,37 +543,38 @@
 	return r, strings.Replace(payment, "d=20000", "d=3600000", 1)
 }
 
-// Whatever the reader waits for, a client that leaves is noticed at once: what
-// is open for it ends, and nothing more is started.
+// A disconnect of the client is detected at once in every state of the reader: its open
+// attempts end and no further command is started.
 func TestClientDisconnectIsDetected(t *testing.T) {
 	for name, prepare := range map[string]func(*rig, *fakeClient, string){
-		"while all places are taken": func(r *rig, c *fakeClient, options string) {
+		"while the pipeline is full": func(r *rig, c *fakeClient, options string) {
 			var text strings.Builder
 			for range 2 * maxPipelinedCommands {
 				text.WriteString(encode("Q.DO", anyone, newID(), options, "BODY"))
 			}
 			c.write(text.String())
-			r.waitForAnyClient("the places to be taken", func(c *client) bool { return c.pipelineFull })
+			r.waitForAnyClient("the pipeline to be full", func(c *client) bool { return c.pipelineFull })
 		},
 		"while the last answers are due": func(r *rig, c *fakeClient, _ string) {
 			c.write("nonsense\r\n")
-			r.waitForAnyClient("the end to be near", func(c *client) bool { return c.closing })
+			r.waitForAnyClient("the connection to be closing", func(c *client) bool { return c.closing })
 		},
 		"after the stop": func(r *rig, _ *fakeClient, _ string) { r.stopAndCloseListener() },
-		"after the stop, behind a command that nobody reads": func(r *rig, c *fakeClient, _ string) {
+		"after the stop, behind an unread command": func(r *rig, c *fakeClient, _ string) {
 			r.stopAndCloseListener()
-			r.waitForAnyClient("the end to be near", func(c *client) bool { return c.closing })
+			r.waitForAnyClient("the connection to be closing", func(c *client) bool { return c.closing })
 			c.send("PING")
 		},
-		"behind more than the reader holds": func(r *rig, c *fakeClient, options string) {
+		"behind more input than the read buffer holds": func(r *rig, c *fakeClient, options string) {
 			var text strings.Builder
 			for range maxPipelinedCommands {
 				text.WriteString(encode("Q.DO", anyone, newID(), options, "BODY"))
 			}
 			c.write(text.String())
-			r.waitForAnyClient("the places to be taken", func(c *client) bool { return c.pipelineFull })
+			r.waitForAnyClient("the pipeline to be full", func(c *client) bool { return c.pipelineFull })
 			text.Reset()
-			for text.Len() < maxMessageBytes+readBuffer+8<<10 { // a little more than the reader's buffer; the system's holds it
+			// A little more than the read buffer; the socket buffers hold the rest.
+			for text.Len() < maxMessageBytes+readBuffer+8<<10 {
 				text.WriteString(encode("Q.DO", anyone, newID(), options, strings.Repeat("x", 4<<10)))
 			}
 			c.write(text.String())
@@ -576,16 +588,16 @@
 			got := wait(t, "the request", b.got)
 			prepare(r, c, options)
 			c.nc.Close()
-			for wait(t, "the end of the attempt", b.closed) != got.nc { // others may have been sent on as well
+			for wait(t, "the end of the attempt", b.closed) != got.nc { // further requests may have been forwarded
 			}
 		})
 	}
 }
 
-// What was posted before the end of the loop is still handled: the last client
-// that leaves would otherwise keep its attempt at a backend.
+// Events posted before the loop stops are still handled: otherwise the attempt of the
+// last client that disconnects would go on at its backend.
 func TestLoopHandlesQueuedEventsBeforeStopping(t *testing.T) {
-	for range 100 { // both are ready: without order, half of them end first
+	for range 100 { // both channels are ready, and select picks one at random
 		l := &loop{events: make(chan event, 2), done: make(chan struct{})}
 		handled, stop := 0, make(chan struct{})
 		l.post(func(*loop) { handled++ })
@@ -593,12 +605,12 @@
 		close(stop)
 		l.run(stop)
 		if handled != 2 {
-			t.Fatalf("%d of 2 events are handled", handled)
+			t.Fatalf("%d of 2 events were handled", handled)
 		}
 	}
 }
 
-// halt stops the ingress, and waits until it takes no further client.
+// stopAndCloseListener stops the ingress and waits until it refuses connections.
 func (r *rig) stopAndCloseListener() {
 	r.stopNow()
 	r.stop()
@@ -616,7 +628,7 @@
 	over := r.holdPhases()
 	r.stop()
 	quiet.wantEnd()
-	late := r.dial() // clients still come for a while
+	late := r.dial() // the listener stays open for a while
 	late.send("Q.DO", anyone, newID(), payment, "BODY")
 	second := wait(t, "a request after the stop", b.got)
 	second.answer("late")
@@ -624,7 +636,7 @@
 	late.wantEnd()
 	close(over[accepting])
 	r.untilRefused()
-	got.answer("v") // it is still waited for
+	got.answer("v") // the open request is still awaited
 	busy.want("$1\r\nv")
 	busy.wantEnd()
 	if err := wait(t, "the end", r.ended); err != nil {
@@ -632,12 +644,13 @@
 	}
 }
 
-// At the limit of descriptors the connection that has been idle for longest
-// makes room; one with a request open never does.
+// At the limit of file descriptors, the connection that has been idle for longest is
+// evicted; one with an open request never is.
 func TestIdleClientIsEvictedForANewOne(t *testing.T) {
 	b := newBackend(t)
-	r := newRig(t, func(cfg *Config) { cfg.Limits.Sockets = keptSockets + 4 }, b.member("b")) // two for clients
-	for n := 1; n > 0; {                                                                      // that of the rig is gone
+	// Two descriptors are left for clients.
+	r := newRig(t, func(cfg *Config) { cfg.Limits.Sockets = keptSockets + 4 }, b.member("b"))
+	for n := 1; n > 0; { // until the connection of newRig is closed
 		r.server.mu.Lock()
 		n = len(r.server.clients)
 		r.server.mu.Unlock()
@@ -665,23 +678,23 @@
 	got := wait(t, "the request", b.got)
 	c.want("-ERR failed")
 	if took := time.Since(asked); took < 1500*time.Millisecond {
-		t.Errorf("failed after %v with no cause to", took)
+		t.Errorf("failed after %v, long before the deadline of 2 s", took)
 	}
 	if nc := wait(t, "the end of the attempt", b.closed); nc != got.nc {
-		t.Error("another connection ended")
+		t.Error("a different backend connection was closed")
 	}
-	c.send("PING") // nothing more came for the request
+	c.send("PING") // no second answer precedes PONG
 	c.want("+PONG")
 }
 
-// A request gets one final answer, whatever else is said of it later.
+// A request gets one final answer; later ones are dropped.
 func TestSecondAnswerIsDropped(t *testing.T) {
 	b := newBackend(t)
 	r := newRig(t, nil, b.member("b"))
 	c := r.dial()
 	c.write(encode("Q.ASK", anyone, newID(), lookup) + encode("Q.ASK", anyone, newID(), lookup))
 	one, two := wait(t, "a request", b.got), wait(t, "another", b.got)
-	r.ask(func(l *loop) { // the second waits for the first, so both answers find it unwritten
+	r.ask(func(l *loop) { // the answer of the second is not written before that of the first
 		l.Fail(2, choice.None)
 		l.Refuse(2, 0, choice.None)
 	})
@@ -695,7 +708,8 @@
 
 func TestInvalidConfigurationIsRejected(t *testing.T) {
 	for name, text := range map[string]string{
-		"no JSON": "{", "no settings": `{"name":"n"}`, "bad seed": `{"seed":"x","settings":` + fmt.Sprintf(settings, 1) + `}`,
+		"invalid JSON": "{", "no settings": `{"name":"n"}`,
+		"bad seed": `{"seed":"x","settings":` + fmt.Sprintf(settings, 1) + `}`,
 	} {
 		if _, err := ParseConfig([]byte(text)); err == nil {
 			t.Errorf("%s: no error", name)
@@ -715,13 +729,13 @@
 	}
 	cfg.Listen = taken.Addr().String()
 	if _, err := Listen(cfg); err == nil {
-		t.Error("no error on an address that is taken")
+		t.Error("no error for an address in use")
 	}
 }
 
-// A command that is held back, for want of a place, has no more time than its
-// client, though more comes behind it meanwhile: the time that is told to the
-// backend counts from its own last byte.
+// The deadline of a command that had to wait for a free slot counts from the arrival of
+// its own last byte, even if further commands arrive meanwhile: its client does not wait
+// any longer than that.
 func TestBlockedCommandDeadlineCountsFromItsLastByte(t *testing.T) {
 	r := newRig(t, nil, newBackend(t).member("b"))
 	b := newBench(t)
@@ -736,7 +750,7 @@
 		in.buf = append(in.buf, text...)
 		in.arrivals.add(len(text), at)
 		if blocked, err := c.startCommands(&in); !blocked || err != nil {
-			t.Fatalf("with all places taken, held is %v, %v", blocked, err)
+			t.Fatalf("with a full pipeline, blocked is %v, error %v", blocked, err)
 		}
 	}
 	c.mu.Lock()
@@ -749,7 +763,7 @@
 	defer c.mu.Unlock()
 	for i, want := range []time.Duration{timeLimit - blockedFor, timeLimit} {
 		if remaining := c.pending[i].request.deadline.Sub(now); remaining > want || remaining < want-answerMargin {
-			t.Errorf("request %d has %v left, want %v less the margin", i, remaining, want)
+			t.Errorf("request %d has %v left, want %v or up to answerMargin less", i, remaining, want)
 		}
 	}
 }
--- a/internal/ingress/command.go
+++ b/internal/ingress/command.go
@@ -239,7 +239,7 @@
 	status  choice.Status
 	value   []byte      // the value, encoded as a bulk string
 	metered bool        // used is valid
-	used    float64     // the customer's use, as a fraction of its quota
+	used    float64     // the customer's use over all gateways, as a fraction of its rate
 	load    choice.Load // the load report; N is 0 if there was no valid one
 }
 
--- a/internal/ingress/listen_test.go
+++ b/internal/ingress/listen_test.go
@@ -8,7 +8,8 @@
 	"time"
 )
 
-// failing makes the first calls fail with an error of the system.
+// failingListenConfig returns a configuration with which the first calls fail with a
+// system error, and the number of calls so far.
 func failingListenConfig(times int, failure error) (config net.ListenConfig, calls *int) {
 	calls = new(int)
 	config.Control = func(string, string, syscall.RawConn) error {
@@ -20,13 +21,13 @@
 	return config, calls
 }
 
-// A socket that can't be had for a moment does not end the process.
+// A temporary shortage of a system resource must not end the process at its start.
 func TestListenRetriesTransientErrors(t *testing.T) {
 	for _, err := range transientErrors {
 		config, calls := failingListenConfig(2, err)
 		ln, got := listen(config, "127.0.0.1:0", patience)
 		if got != nil || *calls != 3 {
-			t.Errorf("%v: after %d calls it ends with %v", err, *calls, got)
+			t.Errorf("%v: listen returned after %d calls with %v, want success after 3", err, *calls, got)
 			continue
 		}
 		ln.Close()
@@ -36,10 +37,10 @@
 func TestListenReturnsPermanentErrorsAndTimesOut(t *testing.T) {
 	config, calls := failingListenConfig(2, syscall.EACCES)
 	if _, err := listen(config, "127.0.0.1:0", patience); !errors.Is(err, syscall.EACCES) || *calls != 1 {
-		t.Errorf("an error that lasts: %d calls, %v", *calls, err)
+		t.Errorf("a permanent error: %d calls, %v; want 1 call and EACCES", *calls, err)
 	}
 	config, _ = failingListenConfig(1<<30, syscall.ENFILE)
 	if _, err := listen(config, "127.0.0.1:0", time.Millisecond); !errors.Is(err, syscall.ENFILE) {
-		t.Errorf("with no time left it ends with %v", err)
+		t.Errorf("after the timeout listen returned %v, want ENFILE", err)
 	}
 }
