--- a/internal/ingress/client.go
+++ b/internal/ingress/client.go
@@ -61,8 +61,8 @@
 // slot is the place of one answer in the sequence of answers of a connection.
 type slot struct {
 	request *request // nil for an answer that needs no backend
-	data    []byte
-	filled  bool
+	data    []byte   // the encoded answer
+	filled  bool     // data is set
 }
 
 // client is the connection of a client. A reader goroutine parses pipelined
@@ -100,6 +100,7 @@
 	closeErr         error     // result of the last write, or why closeNow closed it
 }
 
+// newClient returns the client of an accepted connection, which serve then runs.
 func newClient(s *Server, nc net.Conn) *client {
 	now := time.Now()
 	return &client{server: s, id: s.lastClient.Add(1), nc: nc, opened: now, lastActive: now,
@@ -121,7 +122,8 @@
 	lastActive  time.Time
 }
 
-// before reports whether a connection of this rank is evicted before one of the other.
+// before reports whether a connection of this rank is evicted before one of the
+// other rank.
 func (rank evictionRank) before(other evictionRank) bool {
 	if rank.sentRequest != other.sentRequest {
 		return other.sentRequest
--- a/internal/ingress/command.go
+++ b/internal/ingress/command.go
@@ -16,7 +16,7 @@
 
 const (
 	maxValueBytes   = 64 << 10             // of one argument or value
-	maxMessageBytes = maxValueBytes + 4096 // of a whole command or answer
+	maxMessageBytes = maxValueBytes + 4096 // of a whole command or answer, with the largest value
 	maxMetricsBytes = 2048                 // of a load report or a usage report
 	maxArgs         = 16                   // of a command
 	maxDigits       = 15                   // of a number, including the decimal point
@@ -172,6 +172,7 @@
 	optRequired = optRepeat - 1 // all options but optRepeat
 )
 
+// optionNames maps the names of the options on the wire.
 var optionNames = map[string]option{"c": optClass, "t": optPlan, "d": optTimeLimit,
 	"units": optUnits, "spread": optSpread, "first": optFirst, "r": optRepeat}
 
@@ -240,7 +241,7 @@
 	value   []byte      // the value, encoded as a bulk string
 	metered bool        // used is valid
 	used    float64     // the customer's use over all gateways, as a fraction of its rate
-	load    choice.Load // the load report; N is 0 if there was no valid one
+	load    choice.Load // the load report; Count is 0 if there was no valid one
 }
 
 // nextReply parses the first answer in buf, and returns its length n, which is 0 while
