--- a/internal/eventlog/eventlog.go
+++ b/internal/eventlog/eventlog.go
@@ -56,7 +56,7 @@
 	l.logger.LogAttrs(context.Background(), level, message, attributes...)
 }
 
-func (l *Log) detail(message string, attributes ...slog.Attr) {
+func (l *Log) writeDetail(message string, attributes ...slog.Attr) {
 	l.write(slog.LevelDebug, message, attributes...)
 }
 
@@ -74,7 +74,7 @@
 // ClientOpened is a new connection of a client.
 func (l *Log) ClientOpened(client uint64) {
 	if l.Detailed() {
-		l.detail("client opened", slog.Uint64("client", client))
+		l.writeDetail("client opened", slog.Uint64("client", client))
 	}
 }
 
@@ -90,7 +90,7 @@
 // ClientClosed writes the end of a client's connection.
 func (l *Log) ClientClosed(c ClientClosed) {
 	if l.Detailed() {
-		l.detail("client closed", slog.Uint64("client", c.Client), slog.String("reason", c.Reason),
+		l.writeDetail("client closed", slog.Uint64("client", c.Client), slog.String("reason", c.Reason),
 			milliseconds("age_ms", c.Age), slog.Int("answers", c.Answers), slog.Bool("unread", c.Unread))
 	}
 }
@@ -105,10 +105,10 @@
 }
 
 // RequestReceived writes that a request was taken.
-func (l *Log) RequestReceived(t RequestReceived) {
+func (l *Log) RequestReceived(r RequestReceived) {
 	if l.Detailed() {
-		l.detail("request taken", requestID(t.Request), slog.Uint64("client", t.Client), slog.Int("class", t.Class),
-			slog.String("customer", fmt.Sprintf("%016x", t.Customer)), milliseconds("left_ms", t.TimeLeft))
+		l.writeDetail("request taken", requestID(r.Request), slog.Uint64("client", r.Client), slog.Int("class", r.Class),
+			slog.String("customer", fmt.Sprintf("%016x", r.Customer)), milliseconds("left_ms", r.TimeLeft))
 	}
 }
 
@@ -122,10 +122,10 @@
 }
 
 // RequestFinished writes the final answer of a request.
-func (l *Log) RequestFinished(a RequestFinished) {
+func (l *Log) RequestFinished(r RequestFinished) {
 	if l.Detailed() {
-		l.detail("request over", requestID(a.Request), slog.String("end", a.Outcome), slog.String("reason", a.Reason),
-			milliseconds("advice_ms", a.RetryAfter), slog.Int("attempts", a.Attempts))
+		l.writeDetail("request over", requestID(r.Request), slog.String("end", r.Outcome), slog.String("reason", r.Reason),
+			milliseconds("advice_ms", r.RetryAfter), slog.Int("attempts", r.Attempts))
 	}
 }
 
@@ -141,7 +141,7 @@
 // AttemptSent writes the start of an attempt.
 func (l *Log) AttemptSent(s AttemptSent) {
 	if l.Detailed() {
-		l.detail("attempt sent", requestID(s.Request), slog.Int("attempt", s.Attempt), slog.String("backend", s.Backend),
+		l.writeDetail("attempt sent", requestID(s.Request), slog.Int("attempt", s.Attempt), slog.String("backend", s.Backend),
 			slog.String("kind", s.Kind), milliseconds("timeout_ms", s.Timeout))
 	}
 }
@@ -159,7 +159,7 @@
 // AttemptEnded writes the end of an attempt.
 func (l *Log) AttemptEnded(e AttemptEnded) {
 	if l.Detailed() {
-		l.detail("attempt ended", requestID(e.Request), slog.Int("attempt", e.Attempt), slog.String("backend", e.Backend),
+		l.writeDetail("attempt ended", requestID(e.Request), slog.Int("attempt", e.Attempt), slog.String("backend", e.Backend),
 			slog.String("status", e.Status), milliseconds("elapsed_ms", e.Elapsed), slog.Bool("kept", e.Reusable))
 	}
 }
@@ -167,6 +167,6 @@
 // BackendClosed writes the end of a connection to a backend and its reason.
 func (l *Log) BackendClosed(backend, reason string) {
 	if l.Detailed() {
-		l.detail("backend connection closed", slog.String("backend", backend), slog.String("reason", reason))
+		l.writeDetail("backend connection closed", slog.String("backend", backend), slog.String("reason", reason))
 	}
 }
--- a/internal/eventlog/eventlog_test.go
+++ b/internal/eventlog/eventlog_test.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-func TestStatesAreAlwaysWrittenAndRequestsOnlyInDetail(t *testing.T) {
+func TestDetailLevel(t *testing.T) {
 	var out bytes.Buffer
 	log := New(&out, false)
-	all := func() {
+	writeAllEvents := func() {
 		log.State("serving")
 		log.ClientOpened(1)
 		log.RequestReceived(RequestReceived{Request: 0xab, Client: 1, TimeLeft: time.Second})
@@ -21,13 +21,13 @@
 		log.ClientClosed(ClientClosed{Client: 1, Reason: "left"})
 		log.BackendClosed("s-1", "idle")
 	}
-	all()
+	writeAllEvents()
 	if got := strings.Count(out.String(), "\n"); got != 1 || !strings.Contains(out.String(), "state=serving") {
 		t.Errorf("without detail it writes %q", out.String())
 	}
 	out.Reset()
 	log.EnableDetail()
-	all()
+	writeAllEvents()
 	if got := strings.Count(out.String(), "\n"); got != 8 {
 		t.Errorf("in detail it writes %d lines, want 8:\n%s", got, out.String())
 	}
@@ -39,7 +39,7 @@
 	}
 }
 
-func TestNilLogWritesNothing(t *testing.T) {
+func TestNilLog(t *testing.T) {
 	var log *Log
 	log.EnableDetail()
 	log.State("serving")
@@ -49,36 +49,36 @@
 	}
 }
 
-// stuckReader is the other end of a log that nobody reads, until it is let go.
-type stuckReader struct {
-	begun, free chan struct{}
-	written     bytes.Buffer
+// blockingWriter is the other end of a log that nobody reads, until it is let go.
+type blockingWriter struct {
+	started, release chan struct{}
+	written          bytes.Buffer
 }
 
-func (s *stuckReader) Write(line []byte) (int, error) {
+func (w *blockingWriter) Write(line []byte) (int, error) {
 	select {
-	case s.begun <- struct{}{}:
+	case w.started <- struct{}{}:
 	default:
 	}
-	<-s.free
-	return s.written.Write(line)
+	<-w.release
+	return w.written.Write(line)
 }
 
 // A log that nobody reads holds nobody up; what it can't hold is counted.
-func TestWriterNeverBlocks(t *testing.T) {
-	out := &stuckReader{begun: make(chan struct{}, 1), free: make(chan struct{})}
+func TestWriterDropsLinesWhenFull(t *testing.T) {
+	out := &blockingWriter{started: make(chan struct{}, 1), release: make(chan struct{})}
 	w := NewWriter(out)
 	fmt.Fprintln(w, "first")
-	<-out.begun
-	for range linesHeld + 3 { // three too many
+	<-out.started
+	for range maxQueuedLines + 3 { // three too many
 		fmt.Fprintln(w, "more")
 	}
 	w.Flush(time.Millisecond) // in vain, and not for long
-	close(out.free)
+	close(out.release)
 	w.Flush(time.Minute)
 	text := out.written.String()
-	if got := strings.Count(text, "more\n"); got != linesHeld {
-		t.Errorf("%d lines come through, want %d", got, linesHeld)
+	if got := strings.Count(text, "more\n"); got != maxQueuedLines {
+		t.Errorf("%d lines come through, want %d", got, maxQueuedLines)
 	}
 	if !strings.Contains(text, "count=3") {
 		t.Error("the dropped lines are not counted")
--- a/internal/eventlog/writer.go
+++ b/internal/eventlog/writer.go
@@ -7,22 +7,22 @@
 	"time"
 )
 
-// linesHeld bounds the lines that wait to be written.
-const linesHeld = 4096
+// maxQueuedLines bounds the lines that wait to be written.
+const maxQueuedLines = 4096
 
 // Writer writes lines on a goroutine of its own: a log that nobody reads must
 // not hold up who logs. Lines beyond those it holds are dropped and counted. It
 // is safe for concurrent use.
 type Writer struct {
-	out     io.Writer
-	lines   chan []byte
-	dropped atomic.Int64
-	flushes chan chan struct{}
+	out           io.Writer
+	lines         chan []byte
+	dropped       atomic.Int64
+	flushRequests chan chan struct{}
 }
 
 // NewWriter starts a Writer, which lives as long as the process.
 func NewWriter(out io.Writer) *Writer {
-	w := &Writer{out: out, lines: make(chan []byte, linesHeld), flushes: make(chan chan struct{})}
+	w := &Writer{out: out, lines: make(chan []byte, maxQueuedLines), flushRequests: make(chan chan struct{})}
 	go w.run()
 	return w
 }
@@ -38,17 +38,17 @@
 }
 
 // Flush returns once all lines taken so far are written, or after the time given.
-func (w *Writer) Flush(within time.Duration) {
-	limit := time.After(within)
+func (w *Writer) Flush(timeout time.Duration) {
+	expired := time.After(timeout)
 	done := make(chan struct{})
 	select {
-	case w.flushes <- done:
-	case <-limit:
+	case w.flushRequests <- done:
+	case <-expired:
 		return
 	}
 	select {
 	case <-done:
-	case <-limit:
+	case <-expired:
 	}
 }
 
@@ -57,7 +57,7 @@
 		select {
 		case line := <-w.lines:
 			w.write(line)
-		case done := <-w.flushes:
+		case done := <-w.flushRequests:
 			for range len(w.lines) {
 				w.write(<-w.lines)
 			}
--- a/internal/jsontext/jsontext.go
+++ b/internal/jsontext/jsontext.go
@@ -19,29 +19,29 @@
 // Framer finds where a JSON object or array ends. It tells brackets from
 // strings, and nothing else. Its zero value is at the beginning of a text.
 type Framer struct {
-	at      int // bytes looked at
-	depth   int
-	quoted  bool
-	escaped bool
+	scanned      int // bytes looked at
+	depth        int
+	insideString bool
+	escaped      bool
 }
 
 // Scan goes on in a text that may have grown. It returns where the object or
 // array ends, 0 if that has not come yet, and -1 if the text begins with neither.
 func (f *Framer) Scan(text []byte) int {
-	for ; f.at < len(text); f.at++ {
-		c := text[f.at]
+	for ; f.scanned < len(text); f.scanned++ {
+		c := text[f.scanned]
 		switch {
-		case f.quoted:
-			f.inString(c)
+		case f.insideString:
+			f.scanStringByte(c)
 		case c == '"':
-			f.quoted = true
+			f.insideString = true
 		case c == '{' || c == '[':
 			f.depth++
 		case c == '}' || c == ']':
 			f.depth--
 			if f.depth <= 0 {
-				f.at++
-				return f.at
+				f.scanned++
+				return f.scanned
 			}
 		}
 		if f.depth == 0 {
@@ -51,15 +51,15 @@
 	return 0
 }
 
-// inString takes a byte inside a string.
-func (f *Framer) inString(c byte) {
+// scanStringByte takes a byte inside a string.
+func (f *Framer) scanStringByte(c byte) {
 	switch {
 	case f.escaped:
 		f.escaped = false
 	case c == '\\':
 		f.escaped = true
 	case c == '"':
-		f.quoted = false
+		f.insideString = false
 	}
 }
 
@@ -95,8 +95,8 @@
 	return nil
 }
 
-// pauseEvery is how many bytes are passed between two calls of a pause.
-const pauseEvery = 32 << 10
+// bytesPerPause is how many bytes are passed between two calls of a pause.
+const bytesPerPause = 32 << 10
 
 // RawValue goes behind the value that comes next, and returns its text as far as its
 // form tells. pause, if it is not nil, is called now and then.
@@ -105,21 +105,21 @@
 	start := c.Offset
 	rest := c.Text[start:]
 	if len(rest) > 0 && (rest[0] == '{' || rest[0] == '[') {
-		c.Offset += bracketed(rest, pause)
+		c.Offset += containerLength(rest, pause)
 	} else {
-		c.Offset += plainLength(rest)
+		c.Offset += scalarLength(rest)
 	}
 	return c.Text[start:c.Offset]
 }
 
-// bracketed is the length of an object or array, or that of the text if it does not end.
-func bracketed(text []byte, pause func()) int {
+// containerLength is the length of an object or array, or that of the text if it does not end.
+func containerLength(text []byte, pause func()) int {
 	var f Framer
 	for seen := 0; seen < len(text); {
 		if pause != nil {
 			pause()
 		}
-		seen = min(seen+pauseEvery, len(text))
+		seen = min(seen+bytesPerPause, len(text))
 		if end := f.Scan(text[:seen]); end > 0 {
 			return end
 		}
@@ -127,17 +127,17 @@
 	return len(text)
 }
 
-// plainLength is the length of a string, a number or a word.
-func plainLength(text []byte) int {
+// scalarLength is the length of a string, a number or a word.
+func scalarLength(text []byte) int {
 	var f Framer
 	for i, c := range text {
 		switch {
-		case f.quoted:
-			if f.inString(c); !f.quoted {
+		case f.insideString:
+			if f.scanStringByte(c); !f.insideString {
 				return i + 1
 			}
 		case c == '"' && i == 0:
-			f.quoted = true
+			f.insideString = true
 		case strings.IndexByte(",:]}"+Whitespace, c) >= 0:
 			return i
 		}
--- a/internal/jsontext/jsontext_test.go
+++ b/internal/jsontext/jsontext_test.go
@@ -53,7 +53,7 @@
 	return text
 }
 
-func TestFramerFindsTheEndInAnyParts(t *testing.T) {
+func TestFramerChunkedInput(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		text := drawText(t, drawObject(t, 3))
 		all := append(append([]byte{}, text...), `{"more":1}`...)
@@ -68,7 +68,7 @@
 	})
 }
 
-func TestFramerWantsAnObjectOrAnArray(t *testing.T) {
+func TestFramerRejectsOtherText(t *testing.T) {
 	for _, text := range []string{"x", `"{}"`, "1", " {}"} {
 		if end := new(Framer).Scan([]byte(text)); end != -1 {
 			t.Errorf("%q ends at %d, want -1", text, end)
@@ -76,7 +76,7 @@
 	}
 }
 
-func TestObjectIsFoundWithoutAField(t *testing.T) {
+func TestExtractField(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		object := drawObject(t, 3)
 		pauses := 0
@@ -103,7 +103,7 @@
 	})
 }
 
-func TestWhatIsNoObjectIsRefused(t *testing.T) {
+func TestExtractFieldMalformedInput(t *testing.T) {
 	for _, text := range []string{"", "[]", "{", `{"a"}`, `{"a":1,}`, `{"a":1 "b":2}`, `{a:1}`, `{"a":1}x`, `{"a":1]`, `{5:1}`} {
 		if rest, _, err := ExtractField([]byte(text), "known", nil); !errors.Is(err, ErrSyntax) {
 			t.Errorf("%q gives %s, %v", text, rest, err)
@@ -112,7 +112,7 @@
 }
 
 // A long value is passed with pauses.
-func TestLongValueIsPassedWithPauses(t *testing.T) {
+func TestExtractFieldCallsPause(t *testing.T) {
 	list := make([]int, 100_000)
 	text, err := json.Marshal(map[string]any{"known": list, "a": 1})
 	if err != nil {
@@ -120,7 +120,7 @@
 	}
 	pauses := 0
 	rest, value, err := ExtractField(text, "known", func() { pauses++ })
-	if err != nil || string(rest) != `{"a":1}` || pauses < len(value)/pauseEvery {
+	if err != nil || string(rest) != `{"a":1}` || pauses < len(value)/bytesPerPause {
 		t.Errorf("left is %s, %v, with %d pauses in %d bytes", rest, err, pauses, len(value))
 	}
 }
--- a/internal/membership/decoder_test.go
+++ b/internal/membership/decoder_test.go
@@ -179,7 +179,7 @@
 		memo := &DecodeCache{}
 		for range 3 {
 			list := List{Complete: true}
-			for _, i := range rapid.SliceOfN(rapid.IntRange(0, 200), 0, 2*searchFrom).Draw(t, "lines") {
+			for _, i := range rapid.SliceOfN(rapid.IntRange(0, 200), 0, 2*minMembersForIndex).Draw(t, "lines") {
 				list.Members = append(list.Members, &Member{ID: fmt.Sprint(i), Size: float64(rapid.IntRange(0, 1).Draw(t, "size"))})
 			}
 			text, err := json.Marshal(list)
--- a/internal/shutdown/schedule.go
+++ b/internal/shutdown/schedule.go
@@ -15,33 +15,33 @@
 
 // The kill that follows SIGTERM, as the platform promises it.
 const (
-	// killGrace is how long after the longest deadline of a request the kill comes
+	// killGracePeriod is how long after the longest deadline of a request the kill comes
 	// at the soonest.
-	killGrace = 700 * time.Millisecond
-	// longestCounted is as how much a longer deadline counts.
-	longestCounted = 3 * time.Second
-	// acceptFor is how long clients still connect after SIGTERM: 0.4 s, and the
+	killGracePeriod = 700 * time.Millisecond
+	// maxCountedDeadline is as how much a longer deadline counts.
+	maxCountedDeadline = 3 * time.Second
+	// acceptPeriod is how long clients still connect after SIGTERM: 0.4 s, and the
 	// slack of 50 ms that time limits have on sockets.
-	acceptFor = 450 * time.Millisecond
+	acceptPeriod = 450 * time.Millisecond
 )
 
 // What is kept free before the kill.
 const (
-	// holdUp is how long the process may be held up between reading its clock and
+	// maxStall is how long the process may be held up between reading its clock and
 	// writing.
-	holdUp = 150 * time.Millisecond
-	// delivery is how late the signal may be noticed, and how long the last bytes
+	maxStall = 150 * time.Millisecond
+	// maxDeliveryDelay is how late the signal may be noticed, and how long the last bytes
 	// of an answer may be on their way.
-	delivery = 50 * time.Millisecond
-	// lastRead is left between the last answers that are waited for and the last
+	maxDeliveryDelay = 50 * time.Millisecond
+	// finalReadWindow is left between the last answers that are waited for and the last
 	// read: what is read in it is answered at once.
-	lastRead = 100 * time.Millisecond
-	// lastClose is left between the last read and the end, for the other side to
+	finalReadWindow = 100 * time.Millisecond
+	// finalCloseWindow is left between the last read and the end, for the other side to
 	// take the last answers.
-	lastClose = 100 * time.Millisecond
-	// lastAnswers is left for the last answers at least, also when the process was
+	finalCloseWindow = 100 * time.Millisecond
+	// minAnswerWindow is left for the last answers at least, also when the process was
 	// held up and notices the end of reading late: all timers are due then.
-	lastAnswers = 50 * time.Millisecond
+	minAnswerWindow = 50 * time.Millisecond
 )
 
 // Schedule is when each phase of a stop ends at the latest. Begun comes first;
@@ -58,25 +58,25 @@
 
 // NewSchedule plans a stop that was asked for at a time, for a process whose
 // requests have the given deadline at most.
-func NewSchedule(begun time.Time, longestDeadline time.Duration) Schedule {
-	kill := begun.Add(max(0, min(longestDeadline, longestCounted)) + killGrace)
-	closeBy := kill.Add(-holdUp - delivery)
-	readUntil := closeBy.Add(-lastClose)
+func NewSchedule(requestedAt time.Time, longestDeadline time.Duration) Schedule {
+	killAt := requestedAt.Add(max(0, min(longestDeadline, maxCountedDeadline)) + killGracePeriod)
+	closeBy := killAt.Add(-maxStall - maxDeliveryDelay)
+	readUntil := closeBy.Add(-finalCloseWindow)
 	return Schedule{
-		RequestedAt: begun,
-		AcceptUntil: earlier(begun.Add(acceptFor), readUntil),
-		AnswerBy:    readUntil.Add(-lastRead),
+		RequestedAt: requestedAt,
+		AcceptUntil: earlier(requestedAt.Add(acceptPeriod), readUntil),
+		AnswerBy:    readUntil.Add(-finalReadWindow),
 		ReadUntil:   readUntil,
 		CloseBy:     closeBy,
-		KillAt:      kill,
+		KillAt:      killAt,
 	}
 }
 
 // WithReadEnd returns the schedule of a process that has noticed the end of
 // reading at a time: what it has read just before is still to be answered.
-func (s Schedule) WithReadEnd(at time.Time) Schedule {
-	if least := at.Add(lastAnswers); s.CloseBy.Before(least) {
-		s.CloseBy = least
+func (s Schedule) WithReadEnd(readEnd time.Time) Schedule {
+	if earliestClose := readEnd.Add(minAnswerWindow); s.CloseBy.Before(earliestClose) {
+		s.CloseBy = earliestClose
 	}
 	return s
 }
--- a/internal/shutdown/schedule_test.go
+++ b/internal/shutdown/schedule_test.go
@@ -8,7 +8,7 @@
 
 // Whatever the deadlines are, the phases come in order, and a process that is
 // held up at the end of one has ended before the kill.
-func TestPhasesComeInOrderBeforeTheKill(t *testing.T) {
+func TestSchedulePhaseOrder(t *testing.T) {
 	begun := time.Now()
 	for longest, kill := range map[time.Duration]time.Duration{
 		-time.Second: 700 * time.Millisecond, 0: 700 * time.Millisecond,
@@ -28,15 +28,15 @@
 		if s.AcceptUntil.After(s.ReadUntil) {
 			t.Errorf("deadline %v: clients are accepted until %v, and read until %v", longest, s.AcceptUntil, s.ReadUntil)
 		}
-		if left := s.KillAt.Sub(s.CloseBy); left < holdUp {
-			t.Errorf("deadline %v: %v are left at the end, a process is held up for %v", longest, left, holdUp)
+		if left := s.KillAt.Sub(s.CloseBy); left < maxStall {
+			t.Errorf("deadline %v: %v are left at the end, a process is held up for %v", longest, left, maxStall)
 		}
 	}
 }
 
 // A request that comes with the signal keeps all its time, up to the deadline
 // that counts.
-func TestRequestsThatComeWithTheSignalKeepTheirTime(t *testing.T) {
+func TestScheduleHonoursDeadline(t *testing.T) {
 	begun := time.Now()
 	for _, longest := range []time.Duration{100 * time.Millisecond, 2 * time.Second, 3 * time.Second} {
 		if s := NewSchedule(begun, longest); s.AnswerBy.Before(begun.Add(longest)) {
@@ -47,22 +47,22 @@
 
 // A process that is held up while it reads still has time for the last answers,
 // and still ends before the kill.
-func TestLastAnswersHaveTimeAfterAHoldUp(t *testing.T) {
+func TestWithReadEndAfterStall(t *testing.T) {
 	s := NewSchedule(time.Now(), time.Second)
 	if onTime := s.WithReadEnd(s.ReadUntil); !onTime.CloseBy.Equal(s.CloseBy) {
 		t.Errorf("with no hold-up the end moves by %v", onTime.CloseBy.Sub(s.CloseBy))
 	}
-	noticed := s.ReadUntil.Add(holdUp)
+	noticed := s.ReadUntil.Add(maxStall)
 	late := s.WithReadEnd(noticed)
-	if left := late.CloseBy.Sub(noticed); left < lastAnswers {
-		t.Errorf("%v are left for the last answers, want %v", left, lastAnswers)
+	if left := late.CloseBy.Sub(noticed); left < minAnswerWindow {
+		t.Errorf("%v are left for the last answers, want %v", left, minAnswerWindow)
 	}
 	if !late.CloseBy.Before(s.KillAt) {
 		t.Errorf("it ends %v after the kill", late.CloseBy.Sub(s.KillAt))
 	}
 }
 
-func TestStopCountsFromTheSignal(t *testing.T) {
+func TestRequestedAt(t *testing.T) {
 	at := time.Now().Add(-time.Minute)
 	ctx, cancel := context.WithCancelCause(t.Context())
 	cancel(RequestedError{At: at})
