--- a/internal/membership/decoder.go
+++ b/internal/membership/decoder.go
@@ -29,7 +29,7 @@
 // one Decoder after another, and its zero value is empty.
 type DecodeCache struct {
 	text      []byte
-	lines     []cachedMember
+	members   []cachedMember
 	indexByID map[string]int // of a line, by its member's id; made when it is needed
 }
 
@@ -47,15 +47,15 @@
 
 	reader       io.Reader
 	maxListBytes int // bytes of one list
-	memo         *DecodeCache
-	text         []byte // what was read
+	cache        *DecodeCache
+	buffer       []byte // what was read
 	consumed     int    // bytes of it that are decoded
 	cached       bool   // the memo has taken them
 }
 
 // NewDecoder returns a decoder of lists of so many bytes at most.
 func NewDecoder(reader io.Reader, maxListBytes int, cache *DecodeCache) *Decoder {
-	return &Decoder{reader: reader, maxListBytes: maxListBytes, memo: cache}
+	return &Decoder{reader: reader, maxListBytes: maxListBytes, cache: cache}
 }
 
 // Decode returns the list that stands alone in a text.
@@ -69,12 +69,12 @@
 	if err != nil {
 		return List{}, err
 	}
-	p := parser{Cursor: jsontext.Cursor{Text: text}, pause: d.Pause, memo: d.memo, list: List{Revision: revision}}
+	p := parser{Cursor: jsontext.Cursor{Text: text}, pause: d.Pause, cache: d.cache, list: List{Revision: revision}}
 	if err := p.ForEachField(p.parseField); err != nil {
 		return List{}, fmt.Errorf("membership: %w", err)
 	}
 	if d.cached = p.list.Complete; d.cached {
-		*d.memo = DecodeCache{text: text, lines: p.lines}
+		*d.cache = DecodeCache{text: text, members: p.members}
 	}
 	return p.list, nil
 }
@@ -83,17 +83,17 @@
 func (d *Decoder) readListText() ([]byte, error) {
 	d.discardConsumed()
 	var f jsontext.Framer
-	if len(d.text) > 0 {
+	if len(d.buffer) > 0 {
 		callIfSet(d.OnListStart)
 	}
 	for {
-		if end := f.Scan(d.text); end > 0 {
+		if end := f.Scan(d.buffer); end > 0 {
 			d.consumed = end
-			return d.text[:end:end], nil
+			return d.buffer[:end:end], nil
 		} else if end < 0 {
 			return nil, errSyntax
 		}
-		if len(d.text) > d.maxListBytes {
+		if len(d.buffer) > d.maxListBytes {
 			return nil, ErrTooLong
 		}
 		if err := d.readMore(); err != nil {
@@ -105,11 +105,11 @@
 // discardConsumed drops what is decoded. A list behind one that the memo has taken is
 // likely to be complete, and as long.
 func (d *Decoder) discardConsumed() {
-	rest := bytes.TrimLeft(d.text[d.consumed:], jsontext.Whitespace)
+	rest := bytes.TrimLeft(d.buffer[d.consumed:], jsontext.Whitespace)
 	if d.cached {
-		d.text = append(make([]byte, 0, max(d.consumed+maxReadSize, len(rest))), rest...)
+		d.buffer = append(make([]byte, 0, max(d.consumed+maxReadSize, len(rest))), rest...)
 	} else {
-		d.text = append(d.text[:0], rest...)
+		d.buffer = append(d.buffer[:0], rest...)
 	}
 	d.consumed, d.cached = 0, false
 }
@@ -117,16 +117,16 @@
 // readMore reads more of a list, or what stands between two.
 func (d *Decoder) readMore() error {
 	callIfSet(d.Pause)
-	length := len(d.text)
+	length := len(d.buffer)
 	size := min(max(length, minReadSize), maxReadSize)
-	d.text = slices.Grow(d.text, size)
-	n, err := d.reader.Read(d.text[length : length+size])
-	received := d.text[length : length+n]
-	d.text = d.text[:length+n]
+	d.buffer = slices.Grow(d.buffer, size)
+	n, err := d.reader.Read(d.buffer[length : length+size])
+	received := d.buffer[length : length+n]
+	d.buffer = d.buffer[:length+n]
 	if length == 0 {
-		d.text = append(d.text[:0], bytes.TrimLeft(received, jsontext.Whitespace)...)
+		d.buffer = append(d.buffer[:0], bytes.TrimLeft(received, jsontext.Whitespace)...)
 		switch {
-		case len(d.text) > 0:
+		case len(d.buffer) > 0:
 			callIfSet(d.OnListStart)
 		case bytes.IndexByte(received, '\n') >= 0:
 			callIfSet(d.OnEmptyLine)
@@ -148,11 +148,11 @@
 type parser struct {
 	jsontext.Cursor
 	pause      func()
-	memo       *DecodeCache
+	cache      *DecodeCache
 	nextCached int  // line of the memo that is likely to come next
 	incomplete bool // the list has said that it is not complete
 	list       List
-	lines      []cachedMember
+	members    []cachedMember
 }
 
 // parseField reads the value of a parseField.
@@ -173,16 +173,16 @@
 
 // parseMembers reads the array of lines. Null stands for none.
 func (p *parser) parseMembers() error {
-	p.list.Members, p.lines = nil, nil
+	p.list.Members, p.members = nil, nil
 	if p.SkipWhitespace(); p.Offset < len(p.Text) && p.Text[p.Offset] != '[' {
 		var none []struct{}
 		return p.DecodeValue(&none)
 	}
 	if !p.incomplete {
-		p.list.Members, p.lines = make([]*Member, 0, len(p.memo.lines)), make([]cachedMember, 0, len(p.memo.lines))
+		p.list.Members, p.members = make([]*Member, 0, len(p.cache.members)), make([]cachedMember, 0, len(p.cache.members))
 	}
 	return p.ForEachElement(func() error {
-		if len(p.lines)%MembersPerPause == 0 {
+		if len(p.members)%MembersPerPause == 0 {
 			callIfSet(p.pause)
 		}
 		return p.parseMember()
@@ -202,18 +202,18 @@
 		p.resyncCache(m.ID)
 	}
 	p.list.Members = append(p.list.Members, m)
-	p.lines = append(p.lines, cachedMember{start, p.Offset, m})
+	p.members = append(p.members, cachedMember{start, p.Offset, m})
 	return nil
 }
 
 // takeCached returns the member that the memo has for the text that comes, and
 // goes behind it; nil if that text is another.
 func (p *parser) takeCached() *Member {
-	if p.incomplete || p.nextCached >= len(p.memo.lines) {
+	if p.incomplete || p.nextCached >= len(p.cache.members) {
 		return nil
 	}
-	l := p.memo.lines[p.nextCached]
-	text := p.memo.text[l.start:l.end]
+	l := p.cache.members[p.nextCached]
+	text := p.cache.text[l.start:l.end]
 	if !bytes.HasPrefix(p.Text[p.Offset:], text) {
 		return nil
 	}
@@ -228,26 +228,26 @@
 
 // resyncCache goes on in the memo behind the line of a member that was decoded anew.
 func (p *parser) resyncCache(id string) {
-	lines := p.memo.lines
+	members := p.cache.members
 	switch {
-	case p.incomplete || len(lines) == 0:
-	case p.nextCached < len(lines) && lines[p.nextCached].ID == id:
+	case p.incomplete || len(members) == 0:
+	case p.nextCached < len(members) && members[p.nextCached].ID == id:
 		p.nextCached++ // the line has changed in its place
-	case len(p.lines) >= minMembersForIndex:
-		if place, known := p.memo.indexOf(id); known {
-			p.nextCached = place + 1
+	case len(p.members) >= minMembersForIndex:
+		if index, found := p.cache.indexOf(id); found {
+			p.nextCached = index + 1
 		}
 	}
 }
 
 // indexOf returns the place of a member's line.
-func (c *DecodeCache) indexOf(id string) (place int, known bool) {
+func (c *DecodeCache) indexOf(id string) (index int, found bool) {
 	if c.indexByID == nil {
-		c.indexByID = make(map[string]int, len(c.lines))
-		for i, l := range c.lines {
+		c.indexByID = make(map[string]int, len(c.members))
+		for i, l := range c.members {
 			c.indexByID[l.ID] = i
 		}
 	}
-	place, known = c.indexByID[id]
-	return place, known
+	index, found = c.indexByID[id]
+	return index, found
 }
--- a/internal/membership/decoder_test.go
+++ b/internal/membership/decoder_test.go
@@ -16,7 +16,7 @@
 	"cedarseam/internal/jsontext"
 )
 
-const bound = 1 << 20
+const testMaxListBytes = 1 << 20
 
 // drawText draws a list and one of the forms in which it may come.
 func drawText(t *rapid.T) (text []byte, list List) {
@@ -42,8 +42,8 @@
 	return text, list
 }
 
-// sameList compares what lists say. No members and an empty array are alike.
-func sameList(a, b List) bool {
+// equalLists compares what lists say. No members and an empty array are alike.
+func equalLists(a, b List) bool {
 	if len(a.Members) == 0 && len(b.Members) == 0 {
 		a.Members, b.Members = nil, nil
 	}
@@ -52,14 +52,14 @@
 
 // Lists are read in whatever form and parts they come, with a memo of the lists
 // before or without one.
-func TestListsAreReadInAnyFormAndInAnyParts(t *testing.T) {
+func TestDecoderStream(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var stream bytes.Buffer
 		var want []List
 		for range rapid.IntRange(1, 6).Draw(t, "lists") {
 			text, list := drawText(t)
-			again := rapid.IntRange(1, 2).Draw(t, "times")
-			for range again {
+			copies := rapid.IntRange(1, 2).Draw(t, "times")
+			for range copies {
 				stream.Write(text)
 				stream.WriteString(rapid.SampledFrom([]string{"", "\n", "\n\n \n"}).Draw(t, "between"))
 				want = append(want, list)
@@ -69,9 +69,9 @@
 		if rapid.Bool().Draw(t, "bytewise") {
 			reader = iotest.OneByteReader(reader)
 		}
-		d := NewDecoder(reader, bound, &DecodeCache{})
+		d := NewDecoder(reader, testMaxListBytes, &DecodeCache{})
 		for i, list := range want {
-			if got, err := d.Next(0); err != nil || !sameList(got, list) {
+			if got, err := d.Next(0); err != nil || !equalLists(got, list) {
 				t.Fatalf("list %d is read as %+v, %v; want %+v", i, got, err, list)
 			}
 		}
@@ -81,8 +81,8 @@
 	})
 }
 
-func TestListWithoutARevisionHasTheOneGiven(t *testing.T) {
-	d := NewDecoder(strings.NewReader(`{"members":null} {}`), bound, &DecodeCache{})
+func TestDecoderDefaultRevision(t *testing.T) {
+	d := NewDecoder(strings.NewReader(`{"members":null} {}`), testMaxListBytes, &DecodeCache{})
 	for range 2 {
 		if l, err := d.Next(7); err != nil || l.Revision != 7 || l.Complete || len(l.Members) > 0 {
 			t.Errorf("%+v, %v", l, err)
@@ -90,7 +90,7 @@
 	}
 }
 
-func TestWhatIsNoListIsRefused(t *testing.T) {
+func TestDecodeMalformedInput(t *testing.T) {
 	for _, text := range []string{"x", "[]", "5", `"{}"`, "{]", "{,}", `{"revision":1,}`, `{"revision" 1}`, `{"revision":1 2}`,
 		`{"revision":x}`, `{"revision":"1"}`, `{"members":{}}`, `{"members":5}`, `{"members":[{},]}`, `{"members":[{} {}]}`,
 		`{"members":[5]}`, `{"members":[{"id":5}]}`, `{"members":[{"id"]}]}`, `{5:6}`, `{"unknown":[}]`, `{"unknown":nul}`, "}"} {
@@ -100,9 +100,9 @@
 	}
 }
 
-func TestListWithoutEndIsRefused(t *testing.T) {
-	endless := io.MultiReader(strings.NewReader(`{"members":[`), iotest.DataErrReader(strings.NewReader(strings.Repeat(`{},`, bound))))
-	if _, err := NewDecoder(endless, bound, &DecodeCache{}).Next(0); !errors.Is(err, ErrTooLong) {
+func TestDecodeUnterminatedList(t *testing.T) {
+	endless := io.MultiReader(strings.NewReader(`{"members":[`), iotest.DataErrReader(strings.NewReader(strings.Repeat(`{},`, testMaxListBytes))))
+	if _, err := NewDecoder(endless, testMaxListBytes, &DecodeCache{}).Next(0); !errors.Is(err, ErrTooLong) {
 		t.Errorf("the error is %v, want ErrTooLong", err)
 	}
 	if _, err := Decode([]byte(`{"members":[{}`), &DecodeCache{}); !errors.Is(err, io.EOF) {
@@ -110,10 +110,10 @@
 	}
 }
 
-// parts gives one part at each read.
-type parts []string
+// chunkReader gives one part at each read.
+type chunkReader []string
 
-func (p *parts) Read(b []byte) (int, error) {
+func (p *chunkReader) Read(b []byte) (int, error) {
 	if len(*p) == 0 {
 		return 0, io.EOF
 	}
@@ -123,41 +123,41 @@
 }
 
 // An empty line, and the start of a list, are told at once; blanks inside a list are neither.
-func TestEmptyLinesAndStartsAreTold(t *testing.T) {
-	var told []string
-	stream := &parts{"\n", " ", "\r\n", "{", "\n", `"revision":1`, "}\n", "\n", `{"revision":2}{`, `"revision":3}`}
-	d := NewDecoder(stream, bound, &DecodeCache{})
-	d.OnEmptyLine = func() { told = append(told, "empty") }
-	d.OnListStart = func() { told = append(told, "begun") }
+func TestDecoderCallbacks(t *testing.T) {
+	var events []string
+	stream := &chunkReader{"\n", " ", "\r\n", "{", "\n", `"revision":1`, "}\n", "\n", `{"revision":2}{`, `"revision":3}`}
+	d := NewDecoder(stream, testMaxListBytes, &DecodeCache{})
+	d.OnEmptyLine = func() { events = append(events, "empty") }
+	d.OnListStart = func() { events = append(events, "begun") }
 	for {
 		l, err := d.Next(0)
 		if err != nil {
 			break
 		}
-		told = append(told, fmt.Sprint(l.Revision))
+		events = append(events, fmt.Sprint(l.Revision))
 	}
-	if got, want := fmt.Sprint(told), "[empty empty begun 1 empty begun 2 begun 3]"; got != want {
+	if got, want := fmt.Sprint(events), "[empty empty begun 1 empty begun 2 begun 3]"; got != want {
 		t.Errorf("told %s, want %s", got, want)
 	}
 }
 
 // A complete list that names what the one before named costs as many allocations
 // in a large fleet as in a small one.
-func TestLinesThatStandAgainAreNotDecodedAgain(t *testing.T) {
+func TestDecodeCacheReusesUnchangedMembers(t *testing.T) {
 	allocations := func(size int) float64 {
 		list := fleet(size)
 		memo := &DecodeCache{}
-		turn := 0
+		iteration := 0
 		return testing.AllocsPerRun(20, func() {
-			turn++
-			list.Members[size/2].Size = float64(turn)
+			iteration++
+			list.Members[size/2].Size = float64(iteration)
 			text, err := json.Marshal(list)
 			if err != nil {
 				t.Fatal(err)
 			}
-			before := memo.lines
+			before := memo.members
 			got, err := Decode(text, memo)
-			if err != nil || len(got.Members) != size || got.Members[size/2].Size != float64(turn) {
+			if err != nil || len(got.Members) != size || got.Members[size/2].Size != float64(iteration) {
 				t.Fatalf("%d members, %v", len(got.Members), err)
 			}
 			for i, m := range got.Members {
@@ -174,7 +174,7 @@
 }
 
 // Lines that come, go, and change places are read right beside those that stand again.
-func TestMemoFollowsLinesThatMove(t *testing.T) {
+func TestDecodeCacheWithReorderedMembers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		memo := &DecodeCache{}
 		for range 3 {
@@ -186,7 +186,7 @@
 			if err != nil {
 				t.Fatalf("%v", err)
 			}
-			if got, err := Decode(text, memo); err != nil || !sameList(got, list) {
+			if got, err := Decode(text, memo); err != nil || !equalLists(got, list) {
 				t.Fatalf("%s is read as %+v, %v", text, got, err)
 			}
 		}
@@ -203,7 +203,7 @@
 		Decode(first, memo)
 		got, gotErr := Decode(second, memo)
 		want, wantErr := Decode(second, &DecodeCache{})
-		if (gotErr == nil) != (wantErr == nil) || !sameList(got, want) {
+		if (gotErr == nil) != (wantErr == nil) || !equalLists(got, want) {
 			t.Errorf("with a memo %+v, %v; without %+v, %v", got, gotErr, want, wantErr)
 		}
 	})
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -31,7 +31,7 @@
 	entriesByID   map[string]*entry // by id
 	addressOwners map[string]*entry // by address: the entry whose process listens there
 	sequence      int64             // lines so far
-	round         uint64            // number of the list being taken in
+	listNumber    uint64            // number of the list being taken in
 }
 
 type entry struct {
@@ -63,8 +63,8 @@
 // Apply takes a list in and returns what it changes: what must not be sent to
 // any more comes first. pause, which may be nil, is called now and then.
 func (v *View) Apply(list List, pause func()) []Change {
-	v.round++
-	lines := v.findUpdates(list, pause)
+	v.listNumber++
+	updates := v.findUpdates(list, pause)
 	var missing []*entry
 	if list.Complete {
 		missing = v.missing()
@@ -73,24 +73,24 @@
 		v.releaseAddress(e)
 		delete(v.entriesByID, e.ID)
 	}
-	for i := range lines {
-		v.applyUpdate(&lines[i])
+	for i := range updates {
+		v.applyUpdate(&updates[i])
 	}
 	var displaced []*entry
-	for i := range lines {
+	for i := range updates {
 		if i%MembersPerPause == 0 {
 			callIfSet(pause)
 		}
-		if other := v.claimAddress(lines[i].entry); other != nil {
+		if other := v.claimAddress(updates[i].entry); other != nil {
 			displaced = append(displaced, other)
 		}
 	}
-	return collectChanges(missing, displaced, lines)
+	return collectChanges(missing, displaced, updates)
 }
 
 // findUpdates returns the lines that differ from what is held, the last one of each
 // member, in the order of the list.
-func (v *View) findUpdates(list List, pause func()) (lines []update) {
+func (v *View) findUpdates(list List, pause func()) (updates []update) {
 	for i, m := range list.Members {
 		if i%MembersPerPause == 0 {
 			callIfSet(pause)
@@ -102,22 +102,22 @@
 			isNew = true
 			e = &entry{Member: m, updateIndex: -1}
 			v.entriesByID[m.ID] = e
-		case e.lastList != v.round:
+		case e.lastList != v.listNumber:
 			e.updateIndex = -1
 			if list.Complete && !e.displaced && equalMembers(e.Member, m) {
-				e.lastList, e.sequence = v.round, v.sequence
+				e.lastList, e.sequence = v.listNumber, v.sequence
 				continue
 			}
 		case e.updateIndex >= 0: // a later line of the same list stands
-			if isNew = lines[e.updateIndex].isNew; isNew {
+			if isNew = updates[e.updateIndex].isNew; isNew {
 				e.Member = m
 			}
-			lines[e.updateIndex].entry = nil
+			updates[e.updateIndex].entry = nil
 		}
-		e.lastList, e.updateIndex = v.round, len(lines)
-		lines = append(lines, update{entry: e, current: m, isNew: isNew, sequence: v.sequence})
+		e.lastList, e.updateIndex = v.listNumber, len(updates)
+		updates = append(updates, update{entry: e, current: m, isNew: isNew, sequence: v.sequence})
 	}
-	return slices.DeleteFunc(lines, func(p update) bool { return p.entry == nil })
+	return slices.DeleteFunc(updates, func(u update) bool { return u.entry == nil })
 }
 
 func equalMembers(a, b *Member) bool { return a == b || *a == *b }
@@ -126,7 +126,7 @@
 // order in which it was told.
 func (v *View) missing() (entries []*entry) {
 	for _, e := range v.entriesByID {
-		if e.lastList != v.round {
+		if e.lastList != v.listNumber {
 			entries = append(entries, e)
 		}
 	}
@@ -199,8 +199,8 @@
 }
 
 // collectChanges are those of all entries touched, what is not to be sent to first.
-func collectChanges(missing, displaced []*entry, lines []update) []Change {
-	all := make([]Change, 0, len(missing)+len(displaced)+len(lines))
+func collectChanges(missing, displaced []*entry, updates []update) []Change {
+	all := make([]Change, 0, len(missing)+len(displaced)+len(updates))
 	add := func(e *entry, state State, updated bool) {
 		if state != e.reported || updated && state != Gone {
 			all = append(all, Change{e.Member, state})
@@ -213,12 +213,12 @@
 	for _, e := range displaced {
 		add(e, Gone, false)
 	}
-	for _, p := range lines {
+	for _, p := range updates {
 		if state := p.state(); state != Serving {
 			add(p.entry, state, !equalMembers(p.previous, p.current))
 		}
 	}
-	for _, p := range lines {
+	for _, p := range updates {
 		if p.state() == Serving {
 			add(p.entry, Serving, !equalMembers(p.previous, p.current))
 		}
--- a/internal/membership/view_test.go
+++ b/internal/membership/view_test.go
@@ -9,46 +9,46 @@
 	"pgregory.net/rapid"
 )
 
-// rebuilt is the plain way to follow lists, against which the view is held: it
+// referenceView is the plain way to follow lists, against which the view is held: it
 // keeps every line, and looks at all of them for each.
-type rebuilt struct {
-	lines []rebuiltLine // in the order in which they were told
+type referenceView struct {
+	entries []referenceEntry // in the order in which they were told
 }
 
-type rebuiltLine struct {
+type referenceEntry struct {
 	Member
 	displaced bool
 }
 
-func (r *rebuilt) apply(list List) {
-	told := map[string]Member{}
+func (r *referenceView) apply(list List) {
+	updated := map[string]Member{}
 	var order []string
 	for _, m := range list.Members {
-		line := *m
-		if line.HostPort == "" {
-			line.HostPort = r.address(m.ID)
+		member := *m
+		if member.HostPort == "" {
+			member.HostPort = r.addressOf(m.ID)
 		}
-		if _, again := told[m.ID]; again {
-			order = remove(order, m.ID)
+		if _, repeated := updated[m.ID]; repeated {
+			order = removeID(order, m.ID)
 		}
-		told[m.ID], order = line, append(order, m.ID)
+		updated[m.ID], order = member, append(order, m.ID)
 	}
-	var kept []rebuiltLine
-	for _, l := range r.lines {
-		if _, anew := told[l.ID]; !anew && !list.Complete {
+	var kept []referenceEntry
+	for _, l := range r.entries {
+		if _, inList := updated[l.ID]; !inList && !list.Complete {
 			kept = append(kept, l)
 		}
 	}
-	r.lines = kept
+	r.entries = kept
 	for _, id := range order {
-		if told[id].Phase != PhaseDeleted {
-			r.add(told[id])
+		if updated[id].Phase != PhaseDeleted {
+			r.add(updated[id])
 		}
 	}
 }
 
-func (r *rebuilt) address(id string) string {
-	for _, l := range r.lines {
+func (r *referenceView) addressOf(id string) string {
+	for _, l := range r.entries {
 		if l.ID == id {
 			return l.HostPort
 		}
@@ -56,7 +56,7 @@
 	return ""
 }
 
-func remove(order []string, id string) (rest []string) {
+func removeID(order []string, id string) (rest []string) {
 	for _, other := range order {
 		if other != id {
 			rest = append(rest, other)
@@ -67,46 +67,46 @@
 
 // add takes the newest line. The process that started last has the address; of
 // equals the one that serves, then the one told last.
-func (r *rebuilt) add(m Member) {
-	line := rebuiltLine{Member: m}
-	for i := range r.lines {
-		other := &r.lines[i]
+func (r *referenceView) add(m Member) {
+	added := referenceEntry{Member: m}
+	for i := range r.entries {
+		other := &r.entries[i]
 		if other.displaced || other.HostPort != m.HostPort || m.HostPort == "" {
 			continue
 		}
-		older := other.UpSince > m.UpSince ||
+		otherOwns := other.UpSince > m.UpSince ||
 			other.UpSince == m.UpSince && m.Phase == PhaseDraining && other.Phase != PhaseDraining
-		if older {
-			line.displaced = true
+		if otherOwns {
+			added.displaced = true
 		} else {
 			other.displaced = true
 		}
 	}
-	r.lines = append(r.lines, line)
+	r.entries = append(r.entries, added)
 }
 
-// seen is what one who only hears changes knows of a backend.
-type seen struct {
+// observedBackend is what one who only hears changes knows of a backend.
+type observedBackend struct {
 	Member
 	State State
 }
 
-func (r *rebuilt) state() map[string]seen {
-	all := map[string]seen{}
-	for _, l := range r.lines {
+func (r *referenceView) observable() map[string]observedBackend {
+	all := map[string]observedBackend{}
+	for _, l := range r.entries {
 		switch {
 		case l.displaced:
 		case l.Phase == PhaseDraining:
-			all[l.ID] = seen{l.Member, Draining}
+			all[l.ID] = observedBackend{l.Member, Draining}
 		default:
-			all[l.ID] = seen{l.Member, Serving}
+			all[l.ID] = observedBackend{l.Member, Serving}
 		}
 	}
 	return all
 }
 
-// hear takes changes as one who only hears these.
-func hear(t fataler, known map[string]seen, changes []Change) {
+// applyChanges takes changes as one who only hears these.
+func applyChanges(t fatalReporter, known map[string]observedBackend, changes []Change) {
 	serving := false
 	for _, c := range changes {
 		if c.State == Serving {
@@ -115,20 +115,20 @@
 			t.Fatalf("%v comes behind what may be sent to", c.Member)
 		}
 		if c.State == Gone {
-			if _, there := known[c.ID]; !there {
+			if _, tracked := known[c.ID]; !tracked {
 				t.Fatalf("%s is gone that never was", c.ID)
 			}
 			delete(known, c.ID)
 			continue
 		}
-		if was, there := known[c.ID]; there && was == (seen{*c.Member, c.State}) {
-			t.Fatalf("%+v is no change", was)
+		if previous, tracked := known[c.ID]; tracked && previous == (observedBackend{*c.Member, c.State}) {
+			t.Fatalf("%+v is no change", previous)
 		}
-		known[c.ID] = seen{*c.Member, c.State}
+		known[c.ID] = observedBackend{*c.Member, c.State}
 	}
 }
 
-type fataler interface{ Fatalf(string, ...any) }
+type fatalReporter interface{ Fatalf(string, ...any) }
 
 // drawMember draws a line of few backends at few addresses, so that they meet.
 func drawMember(t *rapid.T) *Member {
@@ -147,17 +147,17 @@
 
 // Any sequence of lists and changes, with addresses used again and backends that
 // start again, ends in the same state as when all is rebuilt from the lines.
-func TestViewEqualsThePlainRebuild(t *testing.T) {
+func TestViewMatchesReference(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		view, plain, known := NewView(), &rebuilt{}, map[string]seen{}
+		view, reference, known := NewView(), &referenceView{}, map[string]observedBackend{}
 		var list List
 		for range rapid.IntRange(1, 12).Draw(t, "lists") {
 			if rapid.IntRange(0, 3).Draw(t, "again") > 0 || len(list.Members) == 0 {
 				list = drawList(t, rapid.Bool().Draw(t, "complete"))
 			}
-			hear(t, known, view.Apply(list, nil))
-			plain.apply(list)
-			if want := plain.state(); !maps.Equal(known, want) {
+			applyChanges(t, known, view.Apply(list, nil))
+			reference.apply(list)
+			if want := reference.observable(); !maps.Equal(known, want) {
 				t.Fatalf("after %+v the changes come to\n%+v, want\n%+v", list, known, want)
 			}
 		}
@@ -166,11 +166,11 @@
 
 // A complete list stands for itself, whatever was told before, and changes
 // nothing when it is told again.
-func TestCompleteListLeavesNothingOfWhatWas(t *testing.T) {
+func TestCompleteListReplacesState(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		view, known := NewView(), map[string]seen{}
+		view, known := NewView(), map[string]observedBackend{}
 		for range rapid.IntRange(0, 6).Draw(t, "lists") {
-			hear(t, known, view.Apply(drawList(t, rapid.Bool().Draw(t, "complete")), nil))
+			applyChanges(t, known, view.Apply(drawList(t, rapid.Bool().Draw(t, "complete")), nil))
 		}
 		last := drawList(t, true)
 		for _, m := range last.Members {
@@ -178,25 +178,25 @@
 				m.HostPort = "a:9" // else it would be where it was
 			}
 		}
-		fresh := map[string]seen{}
-		hear(t, fresh, NewView().Apply(last, nil))
-		hear(t, known, view.Apply(last, nil))
+		fresh := map[string]observedBackend{}
+		applyChanges(t, fresh, NewView().Apply(last, nil))
+		applyChanges(t, known, view.Apply(last, nil))
 		if !maps.Equal(known, fresh) {
 			t.Fatalf("the changes come to\n%+v, a fresh start to\n%+v", known, fresh)
 		}
-		if again := view.Apply(last, nil); len(again) > 0 {
-			t.Fatalf("told again, it changes %+v", again)
+		if repeated := view.Apply(last, nil); len(repeated) > 0 {
+			t.Fatalf("told again, it changes %+v", repeated)
 		}
 	})
 }
 
 // The same lists give the same changes in the same order.
-func TestChangesDoNotHangOnTheOrderOfMaps(t *testing.T) {
+func TestChangesAreDeterministic(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		one, two := NewView(), NewView()
+		first, second := NewView(), NewView()
 		for range rapid.IntRange(1, 6).Draw(t, "lists") {
 			list := drawList(t, rapid.Bool().Draw(t, "complete"))
-			if a, b := one.Apply(list, nil), two.Apply(list, nil); !reflect.DeepEqual(a, b) {
+			if a, b := first.Apply(list, nil), second.Apply(list, nil); !reflect.DeepEqual(a, b) {
 				t.Fatalf("%+v and %+v", a, b)
 			}
 		}
@@ -213,16 +213,16 @@
 
 // One change costs as many allocations in a large fleet as in a small one, and a
 // complete list as many as what it changes.
-func TestListCostsWhatItChanges(t *testing.T) {
+func TestApplyAllocations(t *testing.T) {
 	allocations := func(size int) (one, whole float64) {
 		view := NewView()
 		list := fleet(size)
 		view.Apply(list, nil)
 		phases := []string{PhaseDraining, PhaseServing}
-		turn := 0
+		iteration := 0
 		change := func() *Member {
-			turn++
-			return &Member{ID: "s1", HostPort: "a:1", Phase: phases[turn%2], Size: 1}
+			iteration++
+			return &Member{ID: "s1", HostPort: "a:1", Phase: phases[iteration%2], Size: 1}
 		}
 		one = testing.AllocsPerRun(100, func() { view.Apply(List{Members: []*Member{change()}}, nil) })
 		whole = testing.AllocsPerRun(100, func() {
@@ -242,7 +242,7 @@
 }
 
 // Work on a long list is interrupted often enough to let others run.
-func TestLongListIsTakenInWithPauses(t *testing.T) {
+func TestApplyCallsPause(t *testing.T) {
 	const size = 1000
 	view, pauses := NewView(), 0
 	view.Apply(fleet(size), func() { pauses++ })
