--- a/internal/eventlog/eventlog.go
+++ b/internal/eventlog/eventlog.go
@@ -1,11 +1,11 @@
-// Package eventlog writes what becomes of the process, its connections, requests
-// and attempts as structured lines.
+// Package eventlog writes structured log lines about the process and its
+// connections, requests and attempts.
 //
-// Changes of state are always written. Single requests, attempts and connections
-// are written while the log is detailed: their lines cost more than deciding a
-// request does. Ids of requests are those of the clients, in 16 hex digits, so
-// that a line can be held against the records of clients and backends. Times
-// are milliseconds of the monotonic clock.
+// Changes of the process's state are always written. Individual requests, attempts
+// and connections are written only at the detailed level, since writing their lines
+// costs more than deciding a request. Request ids are those that the clients sent,
+// as 16 hex digits, so that lines can be matched with the records of clients and
+// backends. Times are in milliseconds of the monotonic clock.
 package eventlog
 
 import (
@@ -23,7 +23,8 @@
 	start  time.Time
 }
 
-// New makes a Log of text lines. detailed tells whether it begins detailed.
+// New returns a Log that writes text lines to out, initially at the detailed level
+// if detailed is set.
 func New(out io.Writer, detailed bool) *Log {
 	l := &Log{level: &slog.LevelVar{}, start: time.Now()}
 	if detailed {
@@ -33,17 +34,17 @@
 	return l
 }
 
-// Logger is for lines that belong to no event of this package.
+// Logger returns the logger for lines that are not events of this package.
 func (l *Log) Logger() *slog.Logger { return l.logger }
 
-// EnableDetail makes the log detailed from now on.
+// EnableDetail switches the log to the detailed level.
 func (l *Log) EnableDetail() {
 	if l != nil {
 		l.level.Set(slog.LevelDebug)
 	}
 }
 
-// Detailed tells whether single requests, attempts and connections are written.
+// Detailed reports whether individual requests, attempts and connections are written.
 func (l *Log) Detailed() bool {
 	return l != nil && l.logger.Enabled(context.Background(), slog.LevelDebug)
 }
@@ -66,25 +67,25 @@
 	return slog.Float64(name, float64(d.Microseconds())/1e3)
 }
 
-// State is a change of the process's state.
+// State writes a change of the process's state.
 func (l *Log) State(state string, attributes ...slog.Attr) {
 	l.write(slog.LevelInfo, "state", append([]slog.Attr{slog.String("state", state)}, attributes...)...)
 }
 
-// ClientOpened is a new connection of a client.
+// ClientOpened writes that a client has connected.
 func (l *Log) ClientOpened(client uint64) {
 	if l.Detailed() {
 		l.writeDetail("client opened", slog.Uint64("client", client))
 	}
 }
 
-// ClientClosed is the end of a client's connection.
+// ClientClosed describes the end of a client's connection.
 type ClientClosed struct {
 	Client  uint64
 	Reason  string
 	Age     time.Duration
-	Answers int  // that were owed on it, given or not
-	Unread  bool // bytes came that were not read
+	Answers int  // answers due on the connection, sent or not
+	Unread  bool // bytes were received that the process has not read
 }
 
 // ClientClosed writes the end of a client's connection.
@@ -95,16 +96,16 @@
 	}
 }
 
-// RequestReceived is a request that was read whole.
+// RequestReceived describes a request that was read completely.
 type RequestReceived struct {
 	Request  uint64
 	Client   uint64
 	Class    int
 	Customer uint64
-	TimeLeft time.Duration // to its final answer
+	TimeLeft time.Duration // until its final answer is due
 }
 
-// RequestReceived writes that a request was taken.
+// RequestReceived writes that a request was received.
 func (l *Log) RequestReceived(r RequestReceived) {
 	if l.Detailed() {
 		l.writeDetail("request taken", requestID(r.Request), slog.Uint64("client", r.Client), slog.Int("class", r.Class),
@@ -112,16 +113,16 @@
 	}
 }
 
-// RequestFinished is the final answer of a request.
+// RequestFinished describes the final answer to a request.
 type RequestFinished struct {
 	Request    uint64
-	Outcome    string // served, refused, failed or gone
-	Reason     string
-	RetryAfter time.Duration // advice with a refusal
+	Outcome    string        // served, refused, failed or gone
+	Reason     string        // the backend's name if served
+	RetryAfter time.Duration // retry advice sent with a refusal
 	Attempts   int
 }
 
-// RequestFinished writes the final answer of a request.
+// RequestFinished writes the final answer to a request.
 func (l *Log) RequestFinished(r RequestFinished) {
 	if l.Detailed() {
 		l.writeDetail("request over", requestID(r.Request), slog.String("end", r.Outcome), slog.String("reason", r.Reason),
@@ -129,7 +130,7 @@
 	}
 }
 
-// AttemptSent is the start of an attempt.
+// AttemptSent describes the start of an attempt.
 type AttemptSent struct {
 	Request uint64
 	Attempt int
@@ -146,14 +147,14 @@
 	}
 }
 
-// AttemptEnded is the end of an attempt.
+// AttemptEnded describes the end of an attempt.
 type AttemptEnded struct {
 	Request  uint64
 	Attempt  int
 	Backend  string
 	Status   string
 	Elapsed  time.Duration
-	Reusable bool // its connection can be used again
+	Reusable bool // the connection can carry another attempt
 }
 
 // AttemptEnded writes the end of an attempt.
@@ -164,7 +165,7 @@
 	}
 }
 
-// BackendClosed writes the end of a connection to a backend and its reason.
+// BackendClosed writes the end of a connection to a backend and the reason.
 func (l *Log) BackendClosed(backend, reason string) {
 	if l.Detailed() {
 		l.writeDetail("backend connection closed", slog.String("backend", backend), slog.String("reason", reason))
--- a/internal/eventlog/eventlog_test.go
+++ b/internal/eventlog/eventlog_test.go
@@ -23,19 +23,19 @@
 	}
 	writeAllEvents()
 	if got := strings.Count(out.String(), "\n"); got != 1 || !strings.Contains(out.String(), "state=serving") {
-		t.Errorf("without detail it writes %q", out.String())
+		t.Errorf("without detail the log is %q, want only the change of state", out.String())
 	}
 	out.Reset()
 	log.EnableDetail()
 	writeAllEvents()
 	if got := strings.Count(out.String(), "\n"); got != 8 {
-		t.Errorf("in detail it writes %d lines, want 8:\n%s", got, out.String())
+		t.Errorf("detailed log has %d lines, want 8:\n%s", got, out.String())
 	}
 	if got := strings.Count(out.String(), "request=00000000000000ab"); got != 4 {
-		t.Errorf("the request is named %d times, want 4:\n%s", got, out.String())
+		t.Errorf("the request id appears %d times, want 4:\n%s", got, out.String())
 	}
 	if !strings.Contains(out.String(), "end=refused reason=quota advice_ms=200") {
-		t.Errorf("the refusal lacks its reason:\n%s", out.String())
+		t.Errorf("the refusal has no reason or retry advice:\n%s", out.String())
 	}
 }
 
@@ -49,7 +49,7 @@
 	}
 }
 
-// blockingWriter is the other end of a log that nobody reads, until it is let go.
+// blockingWriter blocks every write until release is closed.
 type blockingWriter struct {
 	started, release chan struct{}
 	written          bytes.Buffer
@@ -64,23 +64,23 @@
 	return w.written.Write(line)
 }
 
-// A log that nobody reads holds nobody up; what it can't hold is counted.
+// A blocked output must not block the goroutines that log; dropped lines are counted.
 func TestWriterDropsLinesWhenFull(t *testing.T) {
 	out := &blockingWriter{started: make(chan struct{}, 1), release: make(chan struct{})}
 	w := NewWriter(out)
 	fmt.Fprintln(w, "first")
 	<-out.started
-	for range maxQueuedLines + 3 { // three too many
+	for range maxQueuedLines + 3 { // three more than the queue holds
 		fmt.Fprintln(w, "more")
 	}
-	w.Flush(time.Millisecond) // in vain, and not for long
+	w.Flush(time.Millisecond) // must return though the output is blocked
 	close(out.release)
 	w.Flush(time.Minute)
 	text := out.written.String()
 	if got := strings.Count(text, "more\n"); got != maxQueuedLines {
-		t.Errorf("%d lines come through, want %d", got, maxQueuedLines)
+		t.Errorf("%d lines written, want %d", got, maxQueuedLines)
 	}
 	if !strings.Contains(text, "count=3") {
-		t.Error("the dropped lines are not counted")
+		t.Error("the dropped lines are not reported as count=3")
 	}
 }
--- a/internal/eventlog/writer.go
+++ b/internal/eventlog/writer.go
@@ -7,12 +7,12 @@
 	"time"
 )
 
-// maxQueuedLines bounds the lines that wait to be written.
+// maxQueuedLines bounds the queue of lines not yet written.
 const maxQueuedLines = 4096
 
-// Writer writes lines on a goroutine of its own: a log that nobody reads must
-// not hold up who logs. Lines beyond those it holds are dropped and counted. It
-// is safe for concurrent use.
+// Writer queues log lines and writes them on a goroutine of its own, so that a
+// blocked output does not block the goroutines that log. Lines that do not fit into
+// the queue are dropped and counted. It is safe for concurrent use.
 type Writer struct {
 	out           io.Writer
 	lines         chan []byte
@@ -20,14 +20,14 @@
 	flushRequests chan chan struct{}
 }
 
-// NewWriter starts a Writer, which lives as long as the process.
+// NewWriter returns a Writer whose goroutine runs until the process exits.
 func NewWriter(out io.Writer) *Writer {
 	w := &Writer{out: out, lines: make(chan []byte, maxQueuedLines), flushRequests: make(chan chan struct{})}
 	go w.run()
 	return w
 }
 
-// Write takes one line. It does not block and never fails.
+// Write queues one line. It never blocks and never returns an error.
 func (w *Writer) Write(line []byte) (int, error) {
 	select {
 	case w.lines <- append([]byte(nil), line...):
@@ -37,7 +37,7 @@
 	return len(line), nil
 }
 
-// Flush returns once all lines taken so far are written, or after the time given.
+// Flush waits until all lines queued so far are written, for at most timeout.
 func (w *Writer) Flush(timeout time.Duration) {
 	expired := time.After(timeout)
 	done := make(chan struct{})
@@ -66,7 +66,8 @@
 	}
 }
 
-// write passes a line on. What can't be written is lost: there is nowhere to say so.
+// write writes a line to the output. Errors are ignored: there is nowhere else to
+// report them.
 func (w *Writer) write(line []byte) {
 	_, _ = w.out.Write(line)
 	if n := w.dropped.Swap(0); n > 0 {
--- a/internal/jsontext/jsontext.go
+++ b/internal/jsontext/jsontext.go
@@ -1,6 +1,6 @@
-// Package jsontext finds its way through JSON text without decoding it: where an
-// object ends that comes piece by piece, and where the values of one begin and
-// end. What is wrong inside of a value is left to the decoder of values.
+// Package jsontext scans JSON text without decoding it. A [Framer] finds the end
+// of an object or array that arrives in chunks, and a [Cursor] steps through the
+// values of an object or array. Errors inside a value are left to encoding/json.
 package jsontext
 
 import (
@@ -10,23 +10,25 @@
 	"strings"
 )
 
-// ErrSyntax tells that a text is not of the form that it should have.
-var ErrSyntax = errors.New("it can't be read as JSON")
+// ErrSyntax reports text that is not valid JSON, or not JSON of the expected kind.
+var ErrSyntax = errors.New("malformed or unexpected JSON")
 
-// Whitespace are the characters that may stand between values.
+// Whitespace holds the characters that JSON allows between tokens.
 const Whitespace = " \t\r\n"
 
-// Framer finds where a JSON object or array ends. It tells brackets from
-// strings, and nothing else. Its zero value is at the beginning of a text.
+// Framer finds the end of a JSON object or array. It counts the brackets outside
+// strings and checks nothing else, so the framed text may still be invalid. The
+// zero value is ready to scan a text from its start.
 type Framer struct {
-	scanned      int // bytes looked at
+	scanned      int // bytes scanned so far
 	depth        int
 	insideString bool
 	escaped      bool
 }
 
-// Scan goes on in a text that may have grown. It returns where the object or
-// array ends, 0 if that has not come yet, and -1 if the text begins with neither.
+// Scan continues where the previous call stopped; text is the same text, possibly
+// longer. It returns the offset behind the object or array, 0 if its end has not
+// arrived yet, and -1 if the text starts with neither.
 func (f *Framer) Scan(text []byte) int {
 	for ; f.scanned < len(text); f.scanned++ {
 		c := text[f.scanned]
@@ -51,7 +53,7 @@
 	return 0
 }
 
-// scanStringByte takes a byte inside a string.
+// scanStringByte processes one byte inside a string.
 func (f *Framer) scanStringByte(c byte) {
 	switch {
 	case f.escaped:
@@ -63,20 +65,21 @@
 	}
 }
 
-// Cursor is a place in a text.
+// Cursor is a read position in a JSON text.
 type Cursor struct {
 	Text   []byte
 	Offset int
 }
 
-// SkipWhitespace goes on to what is not blank.
+// SkipWhitespace advances to the next byte that is not whitespace.
 func (c *Cursor) SkipWhitespace() {
 	for c.Offset < len(c.Text) && strings.IndexByte(Whitespace, c.Text[c.Offset]) >= 0 {
 		c.Offset++
 	}
 }
 
-// Accept goes behind a character, if that comes next but for blanks.
+// Accept skips whitespace and then the byte want, if that is next. It reports
+// whether it was.
 func (c *Cursor) Accept(want byte) bool {
 	c.SkipWhitespace()
 	if c.Offset < len(c.Text) && c.Text[c.Offset] == want {
@@ -86,7 +89,7 @@
 	return false
 }
 
-// DecodeValue decodes the value that comes next, and goes behind it.
+// DecodeValue decodes the next value and advances past it.
 func (c *Cursor) DecodeValue(into any) error {
 	raw := c.RawValue(nil)
 	if err := json.Unmarshal(raw, into); err != nil {
@@ -95,11 +98,12 @@
 	return nil
 }
 
-// bytesPerPause is how many bytes are passed between two calls of a pause.
+// bytesPerPause is the number of bytes scanned between two calls of pause.
 const bytesPerPause = 32 << 10
 
-// RawValue goes behind the value that comes next, and returns its text as far as its
-// form tells. pause, if it is not nil, is called now and then.
+// RawValue advances past the next value and returns its text. The value is
+// delimited by its brackets, quotes or separators only and may be invalid JSON.
+// pause, unless nil, is called at intervals while a long value is scanned.
 func (c *Cursor) RawValue(pause func()) []byte {
 	c.SkipWhitespace()
 	start := c.Offset
@@ -112,7 +116,8 @@
 	return c.Text[start:c.Offset]
 }
 
-// containerLength is the length of an object or array, or that of the text if it does not end.
+// containerLength returns the length of the object or array at the start of text,
+// or the length of text if the end is missing.
 func containerLength(text []byte, pause func()) int {
 	var f Framer
 	for seen := 0; seen < len(text); {
@@ -127,7 +132,7 @@
 	return len(text)
 }
 
-// scalarLength is the length of a string, a number or a word.
+// scalarLength returns the length of the string, number or literal at the start of text.
 func scalarLength(text []byte) int {
 	var f Framer
 	for i, c := range text {
@@ -145,8 +150,9 @@
 	return len(text)
 }
 
-// ForEachField goes through the fields of the object that comes next, and behind it.
-// field is called at the value of each, and has to go behind that.
+// ForEachField iterates over the fields of the next object and advances past it.
+// It calls field with the cursor at the value of each; field must advance past
+// that value.
 func (c *Cursor) ForEachField(field func(name string) error) error {
 	if !c.Accept('{') {
 		return ErrSyntax
@@ -171,8 +177,8 @@
 	}
 }
 
-// ForEachElement goes through the elements of the array that comes next, and behind it.
-// element is called at each, and has to go behind it.
+// ForEachElement iterates over the elements of the next array and advances past it.
+// It calls element with the cursor at each of them; element must advance past it.
 func (c *Cursor) ForEachElement(element func() error) error {
 	if !c.Accept('[') {
 		return ErrSyntax
@@ -193,8 +199,10 @@
 	}
 }
 
-// ExtractField returns the text of an object less the fields of one name, in any
-// case of its letters, and the value of the last of these; nil if there is none.
+// ExtractField removes all fields with the given name from an object; names are
+// compared without regard to case, as encoding/json does. It returns the text of
+// the remaining object and the value of the last field removed, nil if there was
+// none. pause, unless nil, is called at intervals while a long value is scanned.
 func ExtractField(text []byte, name string, pause func()) (rest, value []byte, err error) {
 	c := Cursor{Text: text}
 	rest = append(rest, '{')
--- a/internal/jsontext/jsontext_test.go
+++ b/internal/jsontext/jsontext_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-// drawValue draws a value as encoding/json decodes it.
+// drawValue draws a value of the types that encoding/json decodes into any.
 func drawValue(t *rapid.T, depth int) any {
 	kinds := 6
 	if depth == 0 {
@@ -53,16 +53,17 @@
 	return text
 }
 
+// The end of an object is found however the text is split into chunks.
 func TestFramerChunkedInput(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		text := drawText(t, drawObject(t, 3))
 		all := append(append([]byte{}, text...), `{"more":1}`...)
 		var f Framer
-		for seen := 0; ; seen = min(len(all), seen+rapid.IntRange(1, 9).Draw(t, "part")) {
+		for seen := 0; ; seen = min(len(all), seen+rapid.IntRange(1, 9).Draw(t, "chunk")) {
 			if end := f.Scan(all[:seen]); end == len(text) {
 				return
 			} else if end != 0 || seen == len(all) {
-				t.Fatalf("%q ends at %d of %d seen, want %d", all, end, seen, len(text))
+				t.Fatalf("Scan of %q = %d after %d bytes, want %d", all, end, seen, len(text))
 			}
 		}
 	})
@@ -71,7 +72,7 @@
 func TestFramerRejectsOtherText(t *testing.T) {
 	for _, text := range []string{"x", `"{}"`, "1", " {}"} {
 		if end := new(Framer).Scan([]byte(text)); end != -1 {
-			t.Errorf("%q ends at %d, want -1", text, end)
+			t.Errorf("Scan of %q = %d, want -1", text, end)
 		}
 	}
 }
@@ -89,7 +90,7 @@
 		delete(object, "KNOWN")
 		got := map[string]any{}
 		if err := json.Unmarshal(rest, &got); err != nil || !reflect.DeepEqual(got, object) {
-			t.Fatalf("what is left is %s, %v; want %v", rest, err, object)
+			t.Fatalf("remaining object is %s, error %v; want %v", rest, err, object)
 		}
 		var known any
 		if value != nil {
@@ -98,7 +99,7 @@
 			}
 		}
 		if !reflect.DeepEqual(known, lower) && !reflect.DeepEqual(known, upper) {
-			t.Fatalf("the value is %s, want %v or %v", value, lower, upper)
+			t.Fatalf("extracted value is %s, want %v or %v", value, lower, upper)
 		}
 	})
 }
@@ -106,12 +107,12 @@
 func TestExtractFieldMalformedInput(t *testing.T) {
 	for _, text := range []string{"", "[]", "{", `{"a"}`, `{"a":1,}`, `{"a":1 "b":2}`, `{a:1}`, `{"a":1}x`, `{"a":1]`, `{5:1}`} {
 		if rest, _, err := ExtractField([]byte(text), "known", nil); !errors.Is(err, ErrSyntax) {
-			t.Errorf("%q gives %s, %v", text, rest, err)
+			t.Errorf("ExtractField of %q = %s, error %v; want ErrSyntax", text, rest, err)
 		}
 	}
 }
 
-// A long value is passed with pauses.
+// Scanning a long value must not keep the processor from other goroutines.
 func TestExtractFieldCallsPause(t *testing.T) {
 	list := make([]int, 100_000)
 	text, err := json.Marshal(map[string]any{"known": list, "a": 1})
@@ -121,6 +122,6 @@
 	pauses := 0
 	rest, value, err := ExtractField(text, "known", func() { pauses++ })
 	if err != nil || string(rest) != `{"a":1}` || pauses < len(value)/bytesPerPause {
-		t.Errorf("left is %s, %v, with %d pauses in %d bytes", rest, err, pauses, len(value))
+		t.Errorf("remaining object is %s, error %v, with %d pauses in %d bytes", rest, err, pauses, len(value))
 	}
 }
--- a/internal/membership/decoder.go
+++ b/internal/membership/decoder.go
@@ -12,58 +12,61 @@
 	"cedarseam/internal/jsontext"
 )
 
-// ErrTooLong tells that a list goes on beyond the bound.
-var ErrTooLong = errors.New("membership: the list is too long")
+// ErrTooLong reports a list that exceeds the size limit of its decoder.
+var ErrTooLong = errors.New("membership: list exceeds the size limit")
 
-// errSyntax tells that what came is no list.
+// errSyntax reports input that is not a list.
 var errSyntax = fmt.Errorf("membership: %w", jsontext.ErrSyntax)
 
-// The bytes asked for in one read: as many as have come, between these.
+// Bounds on the bytes requested by one read. Between them a read requests as many
+// bytes as are buffered already.
 const (
 	minReadSize = 4 << 10
 	maxReadSize = 32 << 10
 )
 
-// DecodeCache remembers the last complete list that was decoded. A line that stands
-// again, letter by letter, in the next one is not decoded again. It may serve
-// one Decoder after another, and its zero value is empty.
+// DecodeCache holds the last complete list that was decoded. A member whose text is
+// byte for byte the same in the next complete list is not decoded again. Several
+// Decoders may use a cache one after another. The zero value is an empty cache.
 type DecodeCache struct {
 	text      []byte
 	members   []cachedMember
-	indexByID map[string]int // of a line, by its member's id; made when it is needed
+	indexByID map[string]int // indexes of members, by id; built on first use
 }
 
+// cachedMember is a decoded member and the position of its text in the list.
 type cachedMember struct {
-	start, end int // of its text
+	start, end int
 	*Member
 }
 
-// Decoder reads lists that stand one behind another on a connection, each on
-// one line or on several, with empty lines between them.
+// Decoder reads consecutive lists from a connection. A list may span one or more
+// lines, and there may be empty lines between lists.
 type Decoder struct {
-	Pause       func() // called now and then while a list is decoded; nil: never
-	OnListStart func() // called when a list begins to come; nil: never
-	OnEmptyLine func() // called for an empty line; nil: never
+	Pause       func() // called at intervals while a list is read and decoded; may be nil
+	OnListStart func() // called when the first byte of a list has arrived; may be nil
+	OnEmptyLine func() // called for an empty line between lists; may be nil
 
 	reader       io.Reader
-	maxListBytes int // bytes of one list
+	maxListBytes int
 	cache        *DecodeCache
-	buffer       []byte // what was read
-	consumed     int    // bytes of it that are decoded
-	cached       bool   // the memo has taken them
+	buffer       []byte // bytes read
+	consumed     int    // bytes of buffer that are decoded
+	cached       bool   // the cache refers to the memory of buffer
 }
 
-// NewDecoder returns a decoder of lists of so many bytes at most.
+// NewDecoder returns a decoder of lists of up to maxListBytes bytes each.
 func NewDecoder(reader io.Reader, maxListBytes int, cache *DecodeCache) *Decoder {
 	return &Decoder{reader: reader, maxListBytes: maxListBytes, cache: cache}
 }
 
-// Decode returns the list that stands alone in a text.
+// Decode decodes a single list.
 func Decode(text []byte, cache *DecodeCache) (List, error) {
 	return NewDecoder(bytes.NewReader(text), len(text), cache).Next(0)
 }
 
-// Next returns the next list. A list that tells no revision has the one given.
+// Next returns the next list. If the list has no revision field, its revision is the
+// one given.
 func (d *Decoder) Next(revision int64) (List, error) {
 	text, err := d.readListText()
 	if err != nil {
@@ -79,7 +82,8 @@
 	return p.list, nil
 }
 
-// readListText reads the text of one whole list. What came behind it stays for the next.
+// readListText reads the text of one list. Bytes received behind it stay in the
+// buffer for the next call.
 func (d *Decoder) readListText() ([]byte, error) {
 	d.discardConsumed()
 	var f jsontext.Framer
@@ -102,8 +106,9 @@
 	}
 }
 
-// discardConsumed drops what is decoded. A list behind one that the memo has taken is
-// likely to be complete, and as long.
+// discardConsumed drops the decoded bytes. A buffer that the cache refers to is
+// replaced by a new one, of similar size: the list behind a complete list is likely
+// to be complete and about as long.
 func (d *Decoder) discardConsumed() {
 	rest := bytes.TrimLeft(d.buffer[d.consumed:], jsontext.Whitespace)
 	if d.cached {
@@ -114,7 +119,7 @@
 	d.consumed, d.cached = 0, false
 }
 
-// readMore reads more of a list, or what stands between two.
+// readMore reads more bytes of a list, or of the whitespace between two lists.
 func (d *Decoder) readMore() error {
 	callIfSet(d.Pause)
 	length := len(d.buffer)
@@ -133,29 +138,30 @@
 		}
 	}
 	if n > 0 {
-		return nil // an error will come again
+		return nil // the reader returns the error again at the next call
 	}
 	return err
 }
 
+// callIfSet calls f unless it is nil.
 func callIfSet(f func()) {
 	if f != nil {
 		f()
 	}
 }
 
-// parser reads one list from its whole text.
+// parser decodes the complete text of one list.
 type parser struct {
 	jsontext.Cursor
 	pause      func()
 	cache      *DecodeCache
-	nextCached int  // line of the memo that is likely to come next
-	incomplete bool // the list has said that it is not complete
+	nextCached int  // index of the cached member that is likely to be next
+	incomplete bool // the list has "complete": false ahead of its members
 	list       List
 	members    []cachedMember
 }
 
-// parseField reads the value of a parseField.
+// parseField decodes the value of the field with the given name.
 func (p *parser) parseField(name string) error {
 	switch strings.ToLower(name) {
 	case "revision":
@@ -171,7 +177,7 @@
 	return p.DecodeValue(&unknown)
 }
 
-// parseMembers reads the array of lines. Null stands for none.
+// parseMembers decodes the array of members. Null is an empty array.
 func (p *parser) parseMembers() error {
 	p.list.Members, p.members = nil, nil
 	if p.SkipWhitespace(); p.Offset < len(p.Text) && p.Text[p.Offset] != '[' {
@@ -189,7 +195,7 @@
 	})
 }
 
-// parseMember reads one member, or takes it from the memo.
+// parseMember decodes one member or takes it from the cache.
 func (p *parser) parseMember() error {
 	p.SkipWhitespace()
 	start := p.Offset
@@ -206,33 +212,35 @@
 	return nil
 }
 
-// takeCached returns the member that the memo has for the text that comes, and
-// goes behind it; nil if that text is another.
+// takeCached returns the next cached member and advances past its text, if that is
+// the text that comes next; otherwise it returns nil.
 func (p *parser) takeCached() *Member {
 	if p.incomplete || p.nextCached >= len(p.cache.members) {
 		return nil
 	}
-	l := p.cache.members[p.nextCached]
-	text := p.cache.text[l.start:l.end]
+	cached := p.cache.members[p.nextCached]
+	text := p.cache.text[cached.start:cached.end]
 	if !bytes.HasPrefix(p.Text[p.Offset:], text) {
 		return nil
 	}
 	p.nextCached++
 	p.Offset += len(text)
-	return l.Member
+	return cached.Member
 }
 
-// minMembersForIndex is how many lines a list must have before a line that was decoded
-// anew is looked for in the memo: that costs as much as all of its lines, once.
+// minMembersForIndex is how many members of a list must be parsed before a member
+// that was not cached is looked up by id. The first look-up indexes the whole cache,
+// which costs time for each of its members.
 const minMembersForIndex = 64
 
-// resyncCache goes on in the memo behind the line of a member that was decoded anew.
+// resyncCache sets nextCached to the member behind the given one, which has just been
+// decoded because its text was not the next in the cache.
 func (p *parser) resyncCache(id string) {
 	members := p.cache.members
 	switch {
 	case p.incomplete || len(members) == 0:
 	case p.nextCached < len(members) && members[p.nextCached].ID == id:
-		p.nextCached++ // the line has changed in its place
+		p.nextCached++ // the member has changed but kept its place
 	case len(p.members) >= minMembersForIndex:
 		if index, found := p.cache.indexOf(id); found {
 			p.nextCached = index + 1
@@ -240,12 +248,12 @@
 	}
 }
 
-// indexOf returns the place of a member's line.
+// indexOf returns the index of the member with the given id.
 func (c *DecodeCache) indexOf(id string) (index int, found bool) {
 	if c.indexByID == nil {
 		c.indexByID = make(map[string]int, len(c.members))
-		for i, l := range c.members {
-			c.indexByID[l.ID] = i
+		for i, m := range c.members {
+			c.indexByID[m.ID] = i
 		}
 	}
 	index, found = c.indexByID[id]
--- a/internal/membership/list.go
+++ b/internal/membership/list.go
@@ -1,13 +1,15 @@
-// Package membership follows the list of backends that discovery tells. A
-// [Decoder] reads lists from a connection, and a [View] works out what each of
-// them changes, so that a list costs what it changes and not what it holds.
+// Package membership tracks the list of backends that discovery announces. A
+// [Decoder] reads lists from a connection, and a [View] computes the changes that
+// each list makes, so that the cost of a list grows with its changes rather than
+// with its length.
 //
-// Nothing here reads a clock or starts a goroutine. Work that grows with a list
-// calls a function of the caller's between its parts, which may let others run.
+// The package reads no clock and starts no goroutine. Work that grows with the
+// length of a list calls a pause function of the caller at intervals, in which
+// other goroutines may run.
 package membership
 
-// Member is one backend as discovery tells it. A Member that is part of a List
-// must not be changed: it is shared.
+// Member is one backend as discovery announces it. A Member that is part of a List
+// is shared and must not be modified.
 type Member struct {
 	ID       string  `json:"id"`
 	HostPort string  `json:"host_port"`
@@ -16,19 +18,19 @@
 	Cell     int     `json:"cell"`
 	Phase    string  `json:"phase"`
 	Size     float64 `json:"size"`
-	UpSince  int64   `json:"up_since_ms"` // its last start in Unix time, in milliseconds; 0: long ago
+	UpSince  int64   `json:"up_since_ms"` // Unix time of its last start, in milliseconds; 0: long ago
 }
 
-// The phases of a member. Any other counts as serving.
+// The phases of a member. Any other phase is treated as PhaseServing.
 const (
 	PhaseServing  = "SERVING"
 	PhaseDraining = "DRAINING"
 	PhaseDeleted  = "DELETED"
 )
 
-// List is a list of backends, or the changes to one.
+// List is a full list of backends, or a delta to an earlier list.
 type List struct {
 	Revision int64     `json:"revision"`
-	Complete bool      `json:"complete"` // what it does not name is gone
+	Complete bool      `json:"complete"` // a full list: members that it does not name are gone
 	Members  []*Member `json:"members"`
 }
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -5,63 +5,66 @@
 	"slices"
 )
 
-// State is what is to be made of a backend.
+// State tells whether requests may be sent to a backend.
 type State int
 
 // The states of a backend.
 const (
-	Gone State = iota
-	Draining
+	Gone     State = iota // unknown, deleted, or displaced from its address by another backend
+	Draining              // announced as draining
 	Serving
 )
 
-// Change is one backend whose state or whose line is no longer what it was.
+// Change is a backend whose state or description has changed.
 type Change struct {
 	*Member
 	State State
 }
 
-// View is the list as it was told so far. Its zero value is not usable.
+// View is the current list of backends, as put together from all lists applied so
+// far. The zero value is not usable; call NewView.
 //
-// One process listens at an address. Where several members name the same one,
-// the one that started last has it; of equals the one that serves, then the one
-// told last. The others are gone, though discovery has not noticed yet, until it
-// tells them anew: what is sent to them would reach another process.
+// Only one process can listen at an address. If several members name the same
+// address, it belongs to the one that started last; of equals to one that is not
+// draining, then to the one announced last. The others are displaced: a request sent
+// to them would reach another process. They count as gone, though discovery still
+// lists them, until it announces them again.
 type View struct {
-	entriesByID   map[string]*entry // by id
+	entriesByID   map[string]*entry
 	addressOwners map[string]*entry // by address: the entry whose process listens there
-	sequence      int64             // lines so far
-	listNumber    uint64            // number of the list being taken in
+	sequence      int64             // number of members received in all lists
+	listNumber    uint64            // number of the list being applied
 }
 
+// entry is what the view holds about one backend.
 type entry struct {
 	*Member
-	sequence    int64  // place of its line among all that were told
-	lastList    uint64 // the last list that named it
-	updateIndex int    // its place among the lines of that list that may change something; -1: none
-	displaced   bool   // another member has its address
-	reported    State  // as last returned
+	sequence    int64  // View.sequence when the member was last announced
+	lastList    uint64 // number of the last list that named the member
+	updateIndex int    // index among the updates of that list; -1: none
+	displaced   bool   // another member owns its address
+	reported    State  // the state last returned by Apply
 }
 
-// MembersPerPause is how many lines are taken between two calls of a pause.
+// MembersPerPause is the number of members processed between two calls of a pause function.
 const MembersPerPause = 32
 
-// NewView returns a view without backends.
+// NewView returns an empty view.
 func NewView() *View {
 	return &View{entriesByID: map[string]*entry{}, addressOwners: map[string]*entry{}}
 }
 
-// update is a line that may change something.
+// update is a member of the list being applied that may change the view.
 type update struct {
 	*entry
 	current  *Member
-	previous *Member // the line before; that of a new entry is its own
+	previous *Member // the member before this list; for a new entry the member itself
 	isNew    bool
 	sequence int64
 }
 
-// Apply takes a list in and returns what it changes: what must not be sent to
-// any more comes first. pause, which may be nil, is called now and then.
+// Apply applies a list and returns the changes it makes. Backends to which requests
+// must no longer be sent come first. pause, unless nil, is called at intervals.
 func (v *View) Apply(list List, pause func()) []Change {
 	v.listNumber++
 	updates := v.findUpdates(list, pause)
@@ -88,8 +91,8 @@
 	return collectChanges(missing, displaced, updates)
 }
 
-// findUpdates returns the lines that differ from what is held, the last one of each
-// member, in the order of the list.
+// findUpdates returns the members of the list that may change the view, in the order
+// of the list. Of several members with the same id only the last is returned.
 func (v *View) findUpdates(list List, pause func()) (updates []update) {
 	for i, m := range list.Members {
 		if i%MembersPerPause == 0 {
@@ -108,7 +111,7 @@
 				e.lastList, e.sequence = v.listNumber, v.sequence
 				continue
 			}
-		case e.updateIndex >= 0: // a later line of the same list stands
+		case e.updateIndex >= 0: // the list names the id again: the later member counts
 			if isNew = updates[e.updateIndex].isNew; isNew {
 				e.Member = m
 			}
@@ -120,10 +123,11 @@
 	return slices.DeleteFunc(updates, func(u update) bool { return u.entry == nil })
 }
 
+// equalMembers reports whether two members have the same description.
 func equalMembers(a, b *Member) bool { return a == b || *a == *b }
 
-// missing returns what the complete list just compared does not name, in the
-// order in which it was told.
+// missing returns the entries that the complete list being applied does not name, in
+// the order in which they were last announced.
 func (v *View) missing() (entries []*entry) {
 	for _, e := range v.entriesByID {
 		if e.lastList != v.listNumber {
@@ -134,22 +138,22 @@
 	return entries
 }
 
-// releaseAddress frees the address of an entry.
+// releaseAddress gives up the address of an entry, if the entry owns it.
 func (v *View) releaseAddress(e *entry) {
 	if v.addressOwners[e.HostPort] == e {
 		delete(v.addressOwners, e.HostPort)
 	}
 }
 
-// applyUpdate gives an entry its new line. A line that names no address leaves it
-// where it was.
+// applyUpdate replaces the member of an entry. A member without an address keeps the
+// previous address.
 func (v *View) applyUpdate(u *update) {
 	v.releaseAddress(u.entry)
 	u.previous = u.entry.Member
 	if u.current.HostPort == "" && u.previous.HostPort != "" {
-		moved := *u.current
-		moved.HostPort = u.previous.HostPort
-		u.current = &moved
+		withAddress := *u.current
+		withAddress.HostPort = u.previous.HostPort
+		u.current = &withAddress
 	}
 	u.entry.Member, u.entry.sequence, u.entry.displaced = u.current, u.sequence, false
 	if u.current.Phase == PhaseDeleted {
@@ -157,17 +161,18 @@
 	}
 }
 
-// claimAddress settles who has an entry's address. It returns the entry that has lost it to this one.
+// claimAddress decides whether an entry or the current owner gets the entry's
+// address. It returns the owner if the entry has displaced it.
 func (v *View) claimAddress(e *entry) (displaced *entry) {
 	if e.Phase == PhaseDeleted || e.HostPort == "" {
 		return nil
 	}
-	holder := v.addressOwners[e.HostPort]
+	owner := v.addressOwners[e.HostPort]
 	switch {
-	case holder == nil:
-	case e.supersedes(holder):
-		holder.displaced = true
-		displaced = holder
+	case owner == nil:
+	case e.supersedes(owner):
+		owner.displaced = true
+		displaced = owner
 	default:
 		e.displaced = true
 		return nil
@@ -176,7 +181,7 @@
 	return displaced
 }
 
-// supersedes tells that an entry's process has taken the other's address over.
+// supersedes reports whether an entry gets the address that another entry owns.
 func (e *entry) supersedes(other *entry) bool {
 	if e.UpSince != other.UpSince {
 		return e.UpSince > other.UpSince
@@ -187,7 +192,7 @@
 	return e.sequence > other.sequence
 }
 
-// state is what is to be made of an entry now.
+// state returns the current state of an entry.
 func (e *entry) state() State {
 	switch {
 	case e.displaced, e.Phase == PhaseDeleted:
@@ -198,7 +203,8 @@
 	return Serving
 }
 
-// collectChanges are those of all entries touched, what is not to be sent to first.
+// collectChanges returns the changes of all entries that were missing, displaced or
+// updated, those to which requests must no longer be sent first.
 func collectChanges(missing, displaced []*entry, updates []update) []Change {
 	all := make([]Change, 0, len(missing)+len(displaced)+len(updates))
 	add := func(e *entry, state State, updated bool) {
@@ -213,14 +219,14 @@
 	for _, e := range displaced {
 		add(e, Gone, false)
 	}
-	for _, p := range updates {
-		if state := p.state(); state != Serving {
-			add(p.entry, state, !equalMembers(p.previous, p.current))
+	for _, u := range updates {
+		if state := u.state(); state != Serving {
+			add(u.entry, state, !equalMembers(u.previous, u.current))
 		}
 	}
-	for _, p := range updates {
-		if p.state() == Serving {
-			add(p.entry, Serving, !equalMembers(p.previous, p.current))
+	for _, u := range updates {
+		if u.state() == Serving {
+			add(u.entry, Serving, !equalMembers(u.previous, u.current))
 		}
 	}
 	return all
--- a/internal/shutdown/schedule.go
+++ b/internal/shutdown/schedule.go
@@ -1,10 +1,10 @@
-// Package shutdown plans the stop of a process that is told to end and killed
-// some time later.
+// Package shutdown schedules the graceful shutdown of a process that gets SIGTERM
+// and is killed some time later.
 //
-// The obligation: what the process reads after it was told to end is answered,
-// and every connection is closed, before it may be killed. A Schedule divides the
-// time until then; whatever takes work on or spends time while the process stops
-// is bounded by one of its times.
+// Every request read after SIGTERM must be answered, and every connection closed,
+// before the process may be killed. A [Schedule] divides the time until the kill
+// into phases; whatever accepts work or takes time during the shutdown is bounded
+// by the end of one of these phases.
 package shutdown
 
 import (
@@ -13,51 +13,51 @@
 	"time"
 )
 
-// The kill that follows SIGTERM, as the platform promises it.
+// What the platform guarantees about the time between SIGTERM and the kill.
 const (
-	// killGracePeriod is how long after the longest deadline of a request the kill comes
-	// at the soonest.
+	// killGracePeriod is the least time from the end of the longest request deadline
+	// to the kill.
 	killGracePeriod = 700 * time.Millisecond
-	// maxCountedDeadline is as how much a longer deadline counts.
+	// maxCountedDeadline caps the deadline that counts towards the time of the kill.
 	maxCountedDeadline = 3 * time.Second
-	// acceptPeriod is how long clients still connect after SIGTERM: 0.4 s, and the
-	// slack of 50 ms that time limits have on sockets.
+	// acceptPeriod is how long clients still connect after SIGTERM: 0.4 s, plus the
+	// 50 ms of tolerance that apply to time limits on sockets.
 	acceptPeriod = 450 * time.Millisecond
 )
 
-// What is kept free before the kill.
+// Reserves that are subtracted from the time before the kill.
 const (
-	// maxStall is how long the process may be held up between reading its clock and
+	// maxStall is how long the process may be stalled between reading the clock and
 	// writing.
 	maxStall = 150 * time.Millisecond
-	// maxDeliveryDelay is how late the signal may be noticed, and how long the last bytes
-	// of an answer may be on their way.
+	// maxDeliveryDelay is how late the process may notice the signal, and how long the
+	// last bytes of an answer may be in transit.
 	maxDeliveryDelay = 50 * time.Millisecond
-	// finalReadWindow is left between the last answers that are waited for and the last
-	// read: what is read in it is answered at once.
+	// finalReadWindow is the time between AnswerBy and ReadUntil. A request read within
+	// it is answered immediately.
 	finalReadWindow = 100 * time.Millisecond
-	// finalCloseWindow is left between the last read and the end, for the other side to
-	// take the last answers.
+	// finalCloseWindow is the time between ReadUntil and CloseBy, in which the clients
+	// receive the last answers.
 	finalCloseWindow = 100 * time.Millisecond
-	// minAnswerWindow is left for the last answers at least, also when the process was
-	// held up and notices the end of reading late: all timers are due then.
+	// minAnswerWindow is the least time for sending the last answers, also when the
+	// process was stalled and notices the end of reading late: all timers are due then.
 	minAnswerWindow = 50 * time.Millisecond
 )
 
-// Schedule is when each phase of a stop ends at the latest. Begun comes first;
-// AnswerBy, ReadUntil, CloseBy and Kill follow in this order. AcceptUntil lies
-// before ReadUntil, and after AnswerBy where deadlines are short.
+// Schedule holds the latest end of each phase of a shutdown. RequestedAt, AnswerBy,
+// ReadUntil, CloseBy and KillAt are in chronological order. AcceptUntil is never
+// after ReadUntil, but is after AnswerBy where deadlines are short.
 type Schedule struct {
-	RequestedAt time.Time // the process was told to end
-	AcceptUntil time.Time // clients still connect
-	AnswerBy    time.Time // every request has its final answer; one read later is answered at once
-	ReadUntil   time.Time // nothing is accepted or read from then on
-	CloseBy     time.Time // every connection is closed, and the process ends
+	RequestedAt time.Time // the shutdown was requested
+	AcceptUntil time.Time // clients may still connect
+	AnswerBy    time.Time // every request has its final answer; one read later is answered immediately
+	ReadUntil   time.Time // no connection is accepted and nothing is read after this
+	CloseBy     time.Time // every connection is closed and the process exits
 	KillAt      time.Time // the process may be killed
 }
 
-// NewSchedule plans a stop that was asked for at a time, for a process whose
-// requests have the given deadline at most.
+// NewSchedule returns the schedule of a shutdown that was requested at the given
+// time, for requests whose deadlines are at most longestDeadline.
 func NewSchedule(requestedAt time.Time, longestDeadline time.Duration) Schedule {
 	killAt := requestedAt.Add(max(0, min(longestDeadline, maxCountedDeadline)) + killGracePeriod)
 	closeBy := killAt.Add(-maxStall - maxDeliveryDelay)
@@ -72,8 +72,9 @@
 	}
 }
 
-// WithReadEnd returns the schedule of a process that has noticed the end of
-// reading at a time: what it has read just before is still to be answered.
+// WithReadEnd returns the schedule with CloseBy postponed, where necessary, to leave
+// minAnswerWindow after readEnd. readEnd is when the process noticed the end of
+// reading: requests read just before it still have to be answered.
 func (s Schedule) WithReadEnd(readEnd time.Time) Schedule {
 	if earliestClose := readEnd.Add(minAnswerWindow); s.CloseBy.Before(earliestClose) {
 		s.CloseBy = earliestClose
@@ -88,14 +89,14 @@
 	return b
 }
 
-// RequestedError is the cause of a context that ended because the process was told to
-// end.
+// RequestedError is the cause of a context that was cancelled because a shutdown of
+// the process was requested.
 type RequestedError struct{ At time.Time }
 
-func (r RequestedError) Error() string { return "the process was told to end" }
+func (r RequestedError) Error() string { return "shutdown of the process was requested" }
 
-// RequestedAt returns when the end of a context was asked for: the time of its
-// cause if that is a Requested, and now otherwise.
+// RequestedAt returns when the shutdown that cancelled ctx was requested: the time in
+// the cause of ctx if that is a RequestedError, and the current time otherwise.
 func RequestedAt(ctx context.Context) time.Time {
 	var cause RequestedError
 	if errors.As(context.Cause(ctx), &cause) {
