--- a/internal/jsontext/jsontext_test.go
+++ b/internal/jsontext/jsontext_test.go
@@ -53,7 +53,6 @@
 	return text
 }
 
-// The end of an object is found however the text is split into chunks.
 func TestFramerChunkedInput(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		text := drawText(t, drawObject(t, 3))
--- a/internal/membership/decoder.go
+++ b/internal/membership/decoder.go
@@ -143,7 +143,6 @@
 	return err
 }
 
-// callIfSet calls f unless it is nil.
 func callIfSet(f func()) {
 	if f != nil {
 		f()
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -8,10 +8,11 @@
 // State tells whether requests may be sent to a backend.
 type State int
 
-// The states of a backend.
+// The states of a backend. A backend is Gone if it is unknown, deleted, or displaced
+// from its address by another one.
 const (
-	Gone     State = iota // unknown, deleted, or displaced from its address by another backend
-	Draining              // announced as draining
+	Gone State = iota
+	Draining
 	Serving
 )
 
@@ -123,7 +124,6 @@
 	return slices.DeleteFunc(updates, func(u update) bool { return u.entry == nil })
 }
 
-// equalMembers reports whether two members have the same description.
 func equalMembers(a, b *Member) bool { return a == b || *a == *b }
 
 // missing returns the entries that the complete list being applied does not name, in
--- a/internal/membership/view_test.go
+++ b/internal/membership/view_test.go
@@ -9,10 +9,10 @@
 	"pgregory.net/rapid"
 )
 
-// referenceView is the plain way to follow lists, against which the view is held: it
-// keeps every line, and looks at all of them for each.
+// referenceView is a simple implementation of View that tests compare View with. It
+// searches all entries for each member of a list.
 type referenceView struct {
-	entries []referenceEntry // in the order in which they were told
+	entries []referenceEntry // in the order in which they were last announced
 }
 
 type referenceEntry struct {
@@ -34,9 +34,9 @@
 		updated[m.ID], order = member, append(order, m.ID)
 	}
 	var kept []referenceEntry
-	for _, l := range r.entries {
-		if _, inList := updated[l.ID]; !inList && !list.Complete {
-			kept = append(kept, l)
+	for _, e := range r.entries {
+		if _, inList := updated[e.ID]; !inList && !list.Complete {
+			kept = append(kept, e)
 		}
 	}
 	r.entries = kept
@@ -48,9 +48,9 @@
 }
 
 func (r *referenceView) addressOf(id string) string {
-	for _, l := range r.entries {
-		if l.ID == id {
-			return l.HostPort
+	for _, e := range r.entries {
+		if e.ID == id {
+			return e.HostPort
 		}
 	}
 	return ""
@@ -65,8 +65,8 @@
 	return rest
 }
 
-// add takes the newest line. The process that started last has the address; of
-// equals the one that serves, then the one told last.
+// add adds the member announced last. An address belongs to the member that started
+// last; of equals to one that is not draining, then to the one announced last.
 func (r *referenceView) add(m Member) {
 	added := referenceEntry{Member: m}
 	for i := range r.entries {
@@ -85,7 +85,7 @@
 	r.entries = append(r.entries, added)
 }
 
-// observedBackend is what one who only hears changes knows of a backend.
+// observedBackend is a backend as known from the changes that Apply returned.
 type observedBackend struct {
 	Member
 	State State
@@ -93,36 +93,37 @@
 
 func (r *referenceView) observable() map[string]observedBackend {
 	all := map[string]observedBackend{}
-	for _, l := range r.entries {
+	for _, e := range r.entries {
 		switch {
-		case l.displaced:
-		case l.Phase == PhaseDraining:
-			all[l.ID] = observedBackend{l.Member, Draining}
+		case e.displaced:
+		case e.Phase == PhaseDraining:
+			all[e.ID] = observedBackend{e.Member, Draining}
 		default:
-			all[l.ID] = observedBackend{l.Member, Serving}
+			all[e.ID] = observedBackend{e.Member, Serving}
 		}
 	}
 	return all
 }
 
-// applyChanges takes changes as one who only hears these.
+// applyChanges applies changes to the observed backends. It fails the test on a
+// change that is out of order, redundant, or removes an unknown backend.
 func applyChanges(t fatalReporter, known map[string]observedBackend, changes []Change) {
 	serving := false
 	for _, c := range changes {
 		if c.State == Serving {
 			serving = true
 		} else if serving {
-			t.Fatalf("%v comes behind what may be sent to", c.Member)
+			t.Fatalf("change of %v follows a serving backend, want serving backends last", c.Member)
 		}
 		if c.State == Gone {
 			if _, tracked := known[c.ID]; !tracked {
-				t.Fatalf("%s is gone that never was", c.ID)
+				t.Fatalf("unknown backend %s is reported as gone", c.ID)
 			}
 			delete(known, c.ID)
 			continue
 		}
 		if previous, tracked := known[c.ID]; tracked && previous == (observedBackend{*c.Member, c.State}) {
-			t.Fatalf("%+v is no change", previous)
+			t.Fatalf("%+v is reported again without a change", previous)
 		}
 		known[c.ID] = observedBackend{*c.Member, c.State}
 	}
@@ -130,7 +131,7 @@
 
 type fatalReporter interface{ Fatalf(string, ...any) }
 
-// drawMember draws a line of few backends at few addresses, so that they meet.
+// drawMember draws one of a few backends at one of a few addresses, so that they collide.
 func drawMember(t *rapid.T) *Member {
 	return &Member{
 		ID:       fmt.Sprint("s", rapid.IntRange(0, 5).Draw(t, "id")),
@@ -145,8 +146,8 @@
 	return List{Complete: complete, Members: rapid.SliceOfN(rapid.Custom(drawMember), 0, 8).Draw(t, "members")}
 }
 
-// Any sequence of lists and changes, with addresses used again and backends that
-// start again, ends in the same state as when all is rebuilt from the lines.
+// Any sequence of complete lists and deltas, with reused addresses and restarted
+// backends, leads to the same state as the reference implementation.
 func TestViewMatchesReference(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		view, reference, known := NewView(), &referenceView{}, map[string]observedBackend{}
@@ -158,14 +159,14 @@
 			applyChanges(t, known, view.Apply(list, nil))
 			reference.apply(list)
 			if want := reference.observable(); !maps.Equal(known, want) {
-				t.Fatalf("after %+v the changes come to\n%+v, want\n%+v", list, known, want)
+				t.Fatalf("after list %+v the observed backends are\n%+v, want\n%+v", list, known, want)
 			}
 		}
 	})
 }
 
-// A complete list stands for itself, whatever was told before, and changes
-// nothing when it is told again.
+// A complete list leads to the same state whatever lists came before, and applying
+// it a second time changes nothing.
 func TestCompleteListReplacesState(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		view, known := NewView(), map[string]observedBackend{}
@@ -175,29 +176,29 @@
 		last := drawList(t, true)
 		for _, m := range last.Members {
 			if m.HostPort == "" {
-				m.HostPort = "a:9" // else it would be where it was
+				m.HostPort = "a:9" // an empty address would keep the previous one
 			}
 		}
 		fresh := map[string]observedBackend{}
 		applyChanges(t, fresh, NewView().Apply(last, nil))
 		applyChanges(t, known, view.Apply(last, nil))
 		if !maps.Equal(known, fresh) {
-			t.Fatalf("the changes come to\n%+v, a fresh start to\n%+v", known, fresh)
+			t.Fatalf("the observed backends are\n%+v, with a new view\n%+v", known, fresh)
 		}
 		if repeated := view.Apply(last, nil); len(repeated) > 0 {
-			t.Fatalf("told again, it changes %+v", repeated)
+			t.Fatalf("the second application changes %+v", repeated)
 		}
 	})
 }
 
-// The same lists give the same changes in the same order.
+// The same lists give the same changes in the same order, whatever the iteration order of maps.
 func TestChangesAreDeterministic(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		first, second := NewView(), NewView()
 		for range rapid.IntRange(1, 6).Draw(t, "lists") {
 			list := drawList(t, rapid.Bool().Draw(t, "complete"))
 			if a, b := first.Apply(list, nil), second.Apply(list, nil); !reflect.DeepEqual(a, b) {
-				t.Fatalf("%+v and %+v", a, b)
+				t.Fatalf("two views return different changes: %+v and %+v", a, b)
 			}
 		}
 	})
@@ -211,8 +212,8 @@
 	return list
 }
 
-// One change costs as many allocations in a large fleet as in a small one, and a
-// complete list as many as what it changes.
+// Applying one changed member, as a delta or in a complete list, takes no more
+// allocations with many backends than with few.
 func TestApplyAllocations(t *testing.T) {
 	allocations := func(size int) (one, whole float64) {
 		view := NewView()
@@ -228,7 +229,7 @@
 		whole = testing.AllocsPerRun(100, func() {
 			list.Members[1] = change()
 			if n := len(view.Apply(list, nil)); n != 1 {
-				t.Fatalf("one changed line gives %d changes", n)
+				t.Fatalf("one changed member gives %d changes", n)
 			}
 		})
 		return one, whole
@@ -236,18 +237,18 @@
 	oneSmall, wholeSmall := allocations(100)
 	oneLarge, wholeLarge := allocations(10_000)
 	if oneLarge > oneSmall || wholeLarge > wholeSmall {
-		t.Errorf("a change takes %v allocations of 100 backends and %v of 10,000; a whole list %v and %v",
+		t.Errorf("a delta takes %v allocations with 100 backends and %v with 10,000; a complete list %v and %v",
 			oneSmall, oneLarge, wholeSmall, wholeLarge)
 	}
 }
 
-// Work on a long list is interrupted often enough to let others run.
+// Applying a long list must not keep the processor from other goroutines.
 func TestApplyCallsPause(t *testing.T) {
 	const size = 1000
 	view, pauses := NewView(), 0
 	view.Apply(fleet(size), func() { pauses++ })
 	if pauses < 2*size/MembersPerPause {
-		t.Errorf("%d pauses for %d lines, want one in %d lines, twice", pauses, size, MembersPerPause)
+		t.Errorf("%d pauses for %d members, want one per %d members in each of two passes", pauses, size, MembersPerPause)
 	}
 }
 
