--- a/internal/membership/decoder.go
+++ b/internal/membership/decoder.go
@@ -21,8 +21,8 @@
 // Bounds on the bytes requested by one read. Between them a read requests as many
 // bytes as are buffered already.
 const (
-	minReadSize = 4 << 10
-	maxReadSize = 32 << 10
+	minReadBytes = 4 << 10
+	maxReadBytes = 32 << 10
 )
 
 // DecodeCache holds the last complete list that was decoded. A member whose text is
@@ -112,7 +112,7 @@
 func (d *Decoder) discardConsumed() {
 	rest := bytes.TrimLeft(d.buffer[d.consumed:], jsontext.Whitespace)
 	if d.cached {
-		d.buffer = append(make([]byte, 0, max(d.consumed+maxReadSize, len(rest))), rest...)
+		d.buffer = append(make([]byte, 0, max(d.consumed+maxReadBytes, len(rest))), rest...)
 	} else {
 		d.buffer = append(d.buffer[:0], rest...)
 	}
@@ -123,7 +123,7 @@
 func (d *Decoder) readMore() error {
 	callIfSet(d.Pause)
 	length := len(d.buffer)
-	size := min(max(length, minReadSize), maxReadSize)
+	size := min(max(length, minReadBytes), maxReadBytes)
 	d.buffer = slices.Grow(d.buffer, size)
 	n, err := d.reader.Read(d.buffer[length : length+size])
 	received := d.buffer[length : length+n]
@@ -155,7 +155,7 @@
 	pause      func()
 	cache      *DecodeCache
 	nextCached int  // index of the cached member that is likely to be next
-	incomplete bool // the list has "complete": false ahead of its members
+	incomplete bool // "complete": false came before the members; the cache is not used
 	list       List
 	members    []cachedMember
 }
--- a/internal/membership/view_test.go
+++ b/internal/membership/view_test.go
@@ -248,7 +248,7 @@
 	view, pauses := NewView(), 0
 	view.Apply(fleet(size), func() { pauses++ })
 	if pauses < 2*size/MembersPerPause {
-		t.Errorf("%d pauses for %d members, want one per %d members in each of two passes", pauses, size, MembersPerPause)
+		t.Errorf("%d pauses for %d members, want 2 per %d", pauses, size, MembersPerPause)
 	}
 }
 
--- a/internal/shutdown/schedule_test.go
+++ b/internal/shutdown/schedule_test.go
@@ -22,7 +22,7 @@
 		phases := []time.Time{s.RequestedAt, s.AnswerBy, s.ReadUntil, s.CloseBy, s.KillAt}
 		for i := 1; i < len(phases); i++ {
 			if !phases[i].After(phases[i-1]) {
-				t.Errorf("deadline %v: phase %d ends %v after the previous one, want a positive time", longest, i, phases[i].Sub(phases[i-1]))
+				t.Errorf("deadline %v: phase %d ends %v after the previous one, want > 0", longest, i, phases[i].Sub(phases[i-1]))
 			}
 		}
 		if s.AcceptUntil.After(s.ReadUntil) {
