--- a/internal/membership/decoder.go
+++ b/internal/membership/decoder.go
@@ -12,242 +12,249 @@
 	"cedarseam/internal/jsontext"
 )
 
-// ErrTooLong tells that a list goes on beyond the bound.
-var ErrTooLong = errors.New("membership: the list is too long")
+// ErrTooLong reports a list that exceeds the size limit of its decoder.
+var ErrTooLong = errors.New("membership: list exceeds the size limit")
 
-// errSyntax tells that what came is no list.
+// errSyntax reports input that is not a list.
 var errSyntax = fmt.Errorf("membership: %w", jsontext.ErrSyntax)
 
-// The bytes asked for in one read: as many as have come, between these.
+// Bounds on the bytes requested by one read. Between them a read requests as many
+// bytes as are buffered already.
 const (
-	readLeast = 4 << 10
-	readMost  = 32 << 10
+	minReadBytes = 4 << 10
+	maxReadBytes = 32 << 10
 )
 
-// DecodeCache remembers the last complete list that was decoded. A line that stands
-// again, letter by letter, in the next one is not decoded again. It may serve
-// one Decoder after another, and its zero value is empty.
+// DecodeCache holds the last complete list that was decoded. A member whose text is
+// byte for byte the same in the next complete list is not decoded again. Several
+// Decoders may use a cache one after another. The zero value is an empty cache.
 type DecodeCache struct {
-	text  []byte
-	lines []memoLine
-	place map[string]int // of a line, by its member's id; made when it is needed
+	text      []byte
+	members   []cachedMember
+	indexByID map[string]int // indexes of members, by id; built on first use
 }
 
-type memoLine struct {
-	start, end int // of its text
+// cachedMember is a decoded member and the position of its text in the list.
+type cachedMember struct {
+	start, end int
 	*Member
 }
 
-// Decoder reads lists that stand one behind another on a connection, each on
-// one line or on several, with empty lines between them.
+// Decoder reads consecutive lists from a connection. A list may span one or more
+// lines, and there may be empty lines between lists.
 type Decoder struct {
-	Pause       func() // called now and then while a list is decoded; nil: never
-	OnListStart func() // called when a list begins to come; nil: never
-	OnEmptyLine func() // called for an empty line; nil: never
+	Pause       func() // called at intervals while a list is read and decoded; may be nil
+	OnListStart func() // called when the first byte of a list has arrived; may be nil
+	OnEmptyLine func() // called for an empty line between lists; may be nil
 
-	from io.Reader
-	most int // bytes of one list
-	memo *DecodeCache
-	text []byte // what was read
-	done int    // bytes of it that are decoded
-	kept bool   // the memo has taken them
+	reader       io.Reader
+	maxListBytes int
+	cache        *DecodeCache
+	buffer       []byte // bytes read
+	consumed     int    // bytes of buffer that are decoded
+	cached       bool   // the cache refers to the memory of buffer
 }
 
-// NewDecoder returns a decoder of lists of so many bytes at most.
-func NewDecoder(from io.Reader, most int, memo *DecodeCache) *Decoder {
-	return &Decoder{from: from, most: most, memo: memo}
+// NewDecoder returns a decoder of lists of up to maxListBytes bytes each.
+func NewDecoder(reader io.Reader, maxListBytes int, cache *DecodeCache) *Decoder {
+	return &Decoder{reader: reader, maxListBytes: maxListBytes, cache: cache}
 }
 
-// Decode returns the list that stands alone in a text.
-func Decode(text []byte, memo *DecodeCache) (List, error) {
-	return NewDecoder(bytes.NewReader(text), len(text), memo).Next(0)
+// Decode decodes a single list.
+func Decode(text []byte, cache *DecodeCache) (List, error) {
+	return NewDecoder(bytes.NewReader(text), len(text), cache).Next(0)
 }
 
-// Next returns the next list. A list that tells no revision has the one given.
+// Next returns the next list. If the list has no revision field, its revision is the
+// one given.
 func (d *Decoder) Next(revision int64) (List, error) {
-	text, err := d.frame()
+	text, err := d.readListText()
 	if err != nil {
 		return List{}, err
 	}
-	p := parser{Cursor: jsontext.Cursor{Text: text}, pause: d.Pause, memo: d.memo, list: List{Revision: revision}}
-	if err := p.ForEachField(p.field); err != nil {
+	p := parser{Cursor: jsontext.Cursor{Text: text}, pause: d.Pause, cache: d.cache, list: List{Revision: revision}}
+	if err := p.ForEachField(p.parseField); err != nil {
 		return List{}, fmt.Errorf("membership: %w", err)
 	}
-	if d.kept = p.list.Complete; d.kept {
-		*d.memo = DecodeCache{text: text, lines: p.lines}
+	if d.cached = p.list.Complete; d.cached {
+		*d.cache = DecodeCache{text: text, members: p.members}
 	}
 	return p.list, nil
 }
 
-// frame reads the text of one whole list. What came behind it stays for the next.
-func (d *Decoder) frame() ([]byte, error) {
-	d.discard()
+// readListText reads the text of one list. Bytes received behind it stay in the
+// buffer for the next call.
+func (d *Decoder) readListText() ([]byte, error) {
+	d.discardConsumed()
 	var f jsontext.Framer
-	if len(d.text) > 0 {
-		call(d.OnListStart)
+	if len(d.buffer) > 0 {
+		callIfSet(d.OnListStart)
 	}
 	for {
-		if end := f.Scan(d.text); end > 0 {
-			d.done = end
-			return d.text[:end:end], nil
+		if end := f.Scan(d.buffer); end > 0 {
+			d.consumed = end
+			return d.buffer[:end:end], nil
 		} else if end < 0 {
 			return nil, errSyntax
 		}
-		if len(d.text) > d.most {
+		if len(d.buffer) > d.maxListBytes {
 			return nil, ErrTooLong
 		}
-		if err := d.read(); err != nil {
+		if err := d.readMore(); err != nil {
 			return nil, err
 		}
 	}
 }
 
-// discard drops what is decoded. A list behind one that the memo has taken is
-// likely to be complete, and as long.
-func (d *Decoder) discard() {
-	rest := bytes.TrimLeft(d.text[d.done:], jsontext.Whitespace)
-	if d.kept {
-		d.text = append(make([]byte, 0, max(d.done+readMost, len(rest))), rest...)
+// discardConsumed drops the decoded bytes. A buffer that the cache refers to is
+// replaced by a new one, of similar size: the list behind a complete list is likely
+// to be complete and about as long.
+func (d *Decoder) discardConsumed() {
+	rest := bytes.TrimLeft(d.buffer[d.consumed:], jsontext.Whitespace)
+	if d.cached {
+		d.buffer = append(make([]byte, 0, max(d.consumed+maxReadBytes, len(rest))), rest...)
 	} else {
-		d.text = append(d.text[:0], rest...)
-	}
-	d.done, d.kept = 0, false
-}
-
-// read reads more of a list, or what stands between two.
-func (d *Decoder) read() error {
-	call(d.Pause)
-	before := len(d.text)
-	room := min(max(before, readLeast), readMost)
-	d.text = slices.Grow(d.text, room)
-	n, err := d.from.Read(d.text[before : before+room])
-	came := d.text[before : before+n]
-	d.text = d.text[:before+n]
-	if before == 0 {
-		d.text = append(d.text[:0], bytes.TrimLeft(came, jsontext.Whitespace)...)
+		d.buffer = append(d.buffer[:0], rest...)
+	}
+	d.consumed, d.cached = 0, false
+}
+
+// readMore reads more bytes of a list, or of the whitespace between two lists.
+func (d *Decoder) readMore() error {
+	callIfSet(d.Pause)
+	length := len(d.buffer)
+	size := min(max(length, minReadBytes), maxReadBytes)
+	d.buffer = slices.Grow(d.buffer, size)
+	n, err := d.reader.Read(d.buffer[length : length+size])
+	received := d.buffer[length : length+n]
+	d.buffer = d.buffer[:length+n]
+	if length == 0 {
+		d.buffer = append(d.buffer[:0], bytes.TrimLeft(received, jsontext.Whitespace)...)
 		switch {
-		case len(d.text) > 0:
-			call(d.OnListStart)
-		case bytes.IndexByte(came, '\n') >= 0:
-			call(d.OnEmptyLine)
+		case len(d.buffer) > 0:
+			callIfSet(d.OnListStart)
+		case bytes.IndexByte(received, '\n') >= 0:
+			callIfSet(d.OnEmptyLine)
 		}
 	}
 	if n > 0 {
-		return nil // an error will come again
+		return nil // the reader returns the error again at the next call
 	}
 	return err
 }
 
-func call(f func()) {
+func callIfSet(f func()) {
 	if f != nil {
 		f()
 	}
 }
 
-// parser reads one list from its whole text.
+// parser decodes the complete text of one list.
 type parser struct {
 	jsontext.Cursor
-	pause func()
-	memo  *DecodeCache
-	hint  int  // line of the memo that is likely to come next
-	part  bool // the list has said that it is not complete
-	list  List
-	lines []memoLine
+	pause      func()
+	cache      *DecodeCache
+	nextCached int  // index of the cached member that is likely to be next
+	incomplete bool // "complete": false came before the members; the cache is not used
+	list       List
+	members    []cachedMember
 }
 
-// field reads the value of a field.
-func (p *parser) field(name string) error {
+// parseField decodes the value of the field with the given name.
+func (p *parser) parseField(name string) error {
 	switch strings.ToLower(name) {
 	case "revision":
 		return p.DecodeValue(&p.list.Revision)
 	case "complete":
 		err := p.DecodeValue(&p.list.Complete)
-		p.part = !p.list.Complete
+		p.incomplete = !p.list.Complete
 		return err
 	case "members":
-		return p.members()
+		return p.parseMembers()
 	}
 	var unknown json.RawMessage
 	return p.DecodeValue(&unknown)
 }
 
-// members reads the array of lines. Null stands for none.
-func (p *parser) members() error {
-	p.list.Members, p.lines = nil, nil
+// parseMembers decodes the array of members. Null is an empty array.
+func (p *parser) parseMembers() error {
+	p.list.Members, p.members = nil, nil
 	if p.SkipWhitespace(); p.Offset < len(p.Text) && p.Text[p.Offset] != '[' {
 		var none []struct{}
 		return p.DecodeValue(&none)
 	}
-	if !p.part {
-		p.list.Members, p.lines = make([]*Member, 0, len(p.memo.lines)), make([]memoLine, 0, len(p.memo.lines))
+	if !p.incomplete {
+		p.list.Members, p.members = make([]*Member, 0, len(p.cache.members)), make([]cachedMember, 0, len(p.cache.members))
 	}
 	return p.ForEachElement(func() error {
-		if len(p.lines)%MembersPerPause == 0 {
-			call(p.pause)
+		if len(p.members)%MembersPerPause == 0 {
+			callIfSet(p.pause)
 		}
-		return p.line()
+		return p.parseMember()
 	})
 }
 
-// line reads one member, or takes it from the memo.
-func (p *parser) line() error {
+// parseMember decodes one member or takes it from the cache.
+func (p *parser) parseMember() error {
 	p.SkipWhitespace()
 	start := p.Offset
-	m := p.remembered()
+	m := p.takeCached()
 	if m == nil {
 		m = &Member{}
 		if err := p.DecodeValue(m); err != nil {
 			return err
 		}
-		p.resume(m.ID)
+		p.resyncCache(m.ID)
 	}
 	p.list.Members = append(p.list.Members, m)
-	p.lines = append(p.lines, memoLine{start, p.Offset, m})
+	p.members = append(p.members, cachedMember{start, p.Offset, m})
 	return nil
 }
 
-// remembered returns the member that the memo has for the text that comes, and
-// goes behind it; nil if that text is another.
-func (p *parser) remembered() *Member {
-	if p.part || p.hint >= len(p.memo.lines) {
+// takeCached returns the next cached member and advances past its text, if that is
+// the text that comes next; otherwise it returns nil.
+func (p *parser) takeCached() *Member {
+	if p.incomplete || p.nextCached >= len(p.cache.members) {
 		return nil
 	}
-	l := p.memo.lines[p.hint]
-	text := p.memo.text[l.start:l.end]
+	cached := p.cache.members[p.nextCached]
+	text := p.cache.text[cached.start:cached.end]
 	if !bytes.HasPrefix(p.Text[p.Offset:], text) {
 		return nil
 	}
-	p.hint++
+	p.nextCached++
 	p.Offset += len(text)
-	return l.Member
+	return cached.Member
 }
 
-// searchFrom is how many lines a list must have before a line that was decoded
-// anew is looked for in the memo: that costs as much as all of its lines, once.
-const searchFrom = 64
+// minMembersForIndex is how many members of a list must be parsed before a member
+// that was not cached is looked up by id. The first look-up indexes the whole cache,
+// which costs time for each of its members.
+const minMembersForIndex = 64
 
-// resume goes on in the memo behind the line of a member that was decoded anew.
-func (p *parser) resume(id string) {
-	lines := p.memo.lines
+// resyncCache sets nextCached to the member behind the given one, which has just been
+// decoded because its text was not the next in the cache.
+func (p *parser) resyncCache(id string) {
+	members := p.cache.members
 	switch {
-	case p.part || len(lines) == 0:
-	case p.hint < len(lines) && lines[p.hint].ID == id:
-		p.hint++ // the line has changed in its place
-	case len(p.lines) >= searchFrom:
-		if place, known := p.memo.find(id); known {
-			p.hint = place + 1
+	case p.incomplete || len(members) == 0:
+	case p.nextCached < len(members) && members[p.nextCached].ID == id:
+		p.nextCached++ // the member has changed but kept its place
+	case len(p.members) >= minMembersForIndex:
+		if index, found := p.cache.indexOf(id); found {
+			p.nextCached = index + 1
 		}
 	}
 }
 
-// find returns the place of a member's line.
-func (m *DecodeCache) find(id string) (place int, known bool) {
-	if m.place == nil {
-		m.place = make(map[string]int, len(m.lines))
-		for i, l := range m.lines {
-			m.place[l.ID] = i
+// indexOf returns the index of the member with the given id.
+func (c *DecodeCache) indexOf(id string) (index int, found bool) {
+	if c.indexByID == nil {
+		c.indexByID = make(map[string]int, len(c.members))
+		for i, m := range c.members {
+			c.indexByID[m.ID] = i
 		}
 	}
-	place, known = m.place[id]
-	return place, known
+	index, found = c.indexByID[id]
+	return index, found
 }
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -5,189 +5,194 @@
 	"slices"
 )
 
-// State is what is to be made of a backend.
+// State tells whether requests may be sent to a backend.
 type State int
 
-// The states of a backend.
+// The states of a backend. A backend is Gone if it is unknown, deleted, or displaced
+// from its address by another one.
 const (
 	Gone State = iota
 	Draining
 	Serving
 )
 
-// Change is one backend whose state or whose line is no longer what it was.
+// Change is a backend whose state or description has changed.
 type Change struct {
 	*Member
 	State State
 }
 
-// View is the list as it was told so far. Its zero value is not usable.
+// View is the current list of backends, as put together from all lists applied so
+// far. The zero value is not usable; call NewView.
 //
-// One process listens at an address. Where several members name the same one,
-// the one that started last has it; of equals the one that serves, then the one
-// told last. The others are gone, though discovery has not noticed yet, until it
-// tells them anew: what is sent to them would reach another process.
+// Only one process can listen at an address. If several members name the same
+// address, it belongs to the one that started last; of equals to one that is not
+// draining, then to the one announced last. The others are displaced: a request sent
+// to them would reach another process. They count as gone, though discovery still
+// lists them, until it announces them again.
 type View struct {
-	entries map[string]*entry // by id
-	holders map[string]*entry // by address: the entry whose process listens there
-	told    int64             // lines so far
-	round   uint64            // number of the list being taken in
+	entriesByID   map[string]*entry
+	addressOwners map[string]*entry // by address: the entry whose process listens there
+	sequence      int64             // number of members received in all lists
+	listNumber    uint64            // number of the list being applied
 }
 
+// entry is what the view holds about one backend.
 type entry struct {
 	*Member
-	order     int64  // place of its line among all that were told
-	round     uint64 // the last list that named it
-	slot      int    // its place among the lines of that list that may change something; -1: none
-	displaced bool   // another member has its address
-	known     State  // as last returned
+	sequence    int64  // View.sequence when the member was last announced
+	lastList    uint64 // number of the last list that named the member
+	updateIndex int    // index among the updates of that list; -1: none
+	displaced   bool   // another member owns its address
+	reported    State  // the state last returned by Apply
 }
 
-// MembersPerPause is how many lines are taken between two calls of a pause.
+// MembersPerPause is the number of members processed between two calls of a pause function.
 const MembersPerPause = 32
 
-// NewView returns a view without backends.
+// NewView returns an empty view.
 func NewView() *View {
-	return &View{entries: map[string]*entry{}, holders: map[string]*entry{}}
+	return &View{entriesByID: map[string]*entry{}, addressOwners: map[string]*entry{}}
 }
 
-// pending is a line that may change something.
-type pending struct {
+// update is a member of the list being applied that may change the view.
+type update struct {
 	*entry
-	line   *Member
-	before *Member // the line before; that of a new entry is its own
-	isNew  bool
-	order  int64
+	current  *Member
+	previous *Member // the member before this list; for a new entry the member itself
+	isNew    bool
+	sequence int64
 }
 
-// Apply takes a list in and returns what it changes: what must not be sent to
-// any more comes first. pause, which may be nil, is called now and then.
+// Apply applies a list and returns the changes it makes. Backends to which requests
+// must no longer be sent come first. pause, unless nil, is called at intervals.
 func (v *View) Apply(list List, pause func()) []Change {
-	v.round++
-	lines := v.compare(list, pause)
+	v.listNumber++
+	updates := v.findUpdates(list, pause)
 	var missing []*entry
 	if list.Complete {
 		missing = v.missing()
 	}
 	for _, e := range missing {
-		v.release(e)
-		delete(v.entries, e.ID)
+		v.releaseAddress(e)
+		delete(v.entriesByID, e.ID)
 	}
-	for i := range lines {
-		v.renew(&lines[i])
+	for i := range updates {
+		v.applyUpdate(&updates[i])
 	}
 	var displaced []*entry
-	for i := range lines {
+	for i := range updates {
 		if i%MembersPerPause == 0 {
-			call(pause)
+			callIfSet(pause)
 		}
-		if other := v.claim(lines[i].entry); other != nil {
+		if other := v.claimAddress(updates[i].entry); other != nil {
 			displaced = append(displaced, other)
 		}
 	}
-	return changes(missing, displaced, lines)
+	return collectChanges(missing, displaced, updates)
 }
 
-// compare returns the lines that differ from what is held, the last one of each
-// member, in the order of the list.
-func (v *View) compare(list List, pause func()) (lines []pending) {
+// findUpdates returns the members of the list that may change the view, in the order
+// of the list. Of several members with the same id only the last is returned.
+func (v *View) findUpdates(list List, pause func()) (updates []update) {
 	for i, m := range list.Members {
 		if i%MembersPerPause == 0 {
-			call(pause)
+			callIfSet(pause)
 		}
-		v.told++
-		e, isNew := v.entries[m.ID], false
+		v.sequence++
+		e, isNew := v.entriesByID[m.ID], false
 		switch {
 		case e == nil:
 			isNew = true
-			e = &entry{Member: m, slot: -1}
-			v.entries[m.ID] = e
-		case e.round != v.round:
-			e.slot = -1
-			if list.Complete && !e.displaced && same(e.Member, m) {
-				e.round, e.order = v.round, v.told
+			e = &entry{Member: m, updateIndex: -1}
+			v.entriesByID[m.ID] = e
+		case e.lastList != v.listNumber:
+			e.updateIndex = -1
+			if list.Complete && !e.displaced && equalMembers(e.Member, m) {
+				e.lastList, e.sequence = v.listNumber, v.sequence
 				continue
 			}
-		case e.slot >= 0: // a later line of the same list stands
-			if isNew = lines[e.slot].isNew; isNew {
+		case e.updateIndex >= 0: // the list names the id again: the later member counts
+			if isNew = updates[e.updateIndex].isNew; isNew {
 				e.Member = m
 			}
-			lines[e.slot].entry = nil
+			updates[e.updateIndex].entry = nil
 		}
-		e.round, e.slot = v.round, len(lines)
-		lines = append(lines, pending{entry: e, line: m, isNew: isNew, order: v.told})
+		e.lastList, e.updateIndex = v.listNumber, len(updates)
+		updates = append(updates, update{entry: e, current: m, isNew: isNew, sequence: v.sequence})
 	}
-	return slices.DeleteFunc(lines, func(p pending) bool { return p.entry == nil })
+	return slices.DeleteFunc(updates, func(u update) bool { return u.entry == nil })
 }
 
-func same(a, b *Member) bool { return a == b || *a == *b }
+func equalMembers(a, b *Member) bool { return a == b || *a == *b }
 
-// missing returns what the complete list just compared does not name, in the
-// order in which it was told.
+// missing returns the entries that the complete list being applied does not name, in
+// the order in which they were last announced.
 func (v *View) missing() (entries []*entry) {
-	for _, e := range v.entries {
-		if e.round != v.round {
+	for _, e := range v.entriesByID {
+		if e.lastList != v.listNumber {
 			entries = append(entries, e)
 		}
 	}
-	slices.SortFunc(entries, func(a, b *entry) int { return cmp.Compare(a.order, b.order) })
+	slices.SortFunc(entries, func(a, b *entry) int { return cmp.Compare(a.sequence, b.sequence) })
 	return entries
 }
 
-// release frees the address of an entry.
-func (v *View) release(e *entry) {
-	if v.holders[e.HostPort] == e {
-		delete(v.holders, e.HostPort)
+// releaseAddress gives up the address of an entry, if the entry owns it.
+func (v *View) releaseAddress(e *entry) {
+	if v.addressOwners[e.HostPort] == e {
+		delete(v.addressOwners, e.HostPort)
 	}
 }
 
-// renew gives an entry its new line. A line that names no address leaves it
-// where it was.
-func (v *View) renew(p *pending) {
-	v.release(p.entry)
-	p.before = p.entry.Member
-	if p.line.HostPort == "" && p.before.HostPort != "" {
-		moved := *p.line
-		moved.HostPort = p.before.HostPort
-		p.line = &moved
+// applyUpdate replaces the member of an entry. A member without an address keeps the
+// previous address.
+func (v *View) applyUpdate(u *update) {
+	v.releaseAddress(u.entry)
+	u.previous = u.entry.Member
+	if u.current.HostPort == "" && u.previous.HostPort != "" {
+		withAddress := *u.current
+		withAddress.HostPort = u.previous.HostPort
+		u.current = &withAddress
 	}
-	p.entry.Member, p.entry.order, p.entry.displaced = p.line, p.order, false
-	if p.line.Phase == PhaseDeleted {
-		delete(v.entries, p.line.ID)
+	u.entry.Member, u.entry.sequence, u.entry.displaced = u.current, u.sequence, false
+	if u.current.Phase == PhaseDeleted {
+		delete(v.entriesByID, u.current.ID)
 	}
 }
 
-// claim settles who has an entry's address. It returns the entry that has lost it to this one.
-func (v *View) claim(e *entry) (displaced *entry) {
+// claimAddress decides whether an entry or the current owner gets the entry's
+// address. It returns the owner if the entry has displaced it.
+func (v *View) claimAddress(e *entry) (displaced *entry) {
 	if e.Phase == PhaseDeleted || e.HostPort == "" {
 		return nil
 	}
-	holder := v.holders[e.HostPort]
+	owner := v.addressOwners[e.HostPort]
 	switch {
-	case holder == nil:
-	case e.after(holder):
-		holder.displaced = true
-		displaced = holder
+	case owner == nil:
+	case e.supersedes(owner):
+		owner.displaced = true
+		displaced = owner
 	default:
 		e.displaced = true
 		return nil
 	}
-	v.holders[e.HostPort] = e
+	v.addressOwners[e.HostPort] = e
 	return displaced
 }
 
-// after tells that an entry's process has taken the other's address over.
-func (e *entry) after(other *entry) bool {
+// supersedes reports whether an entry gets the address that another entry owns.
+func (e *entry) supersedes(other *entry) bool {
 	if e.UpSince != other.UpSince {
 		return e.UpSince > other.UpSince
 	}
 	if (e.Phase == PhaseDraining) != (other.Phase == PhaseDraining) {
 		return other.Phase == PhaseDraining
 	}
-	return e.order > other.order
+	return e.sequence > other.sequence
 }
 
-// state is what is to be made of an entry now.
+// state returns the current state of an entry.
 func (e *entry) state() State {
 	switch {
 	case e.displaced, e.Phase == PhaseDeleted:
@@ -198,13 +203,14 @@
 	return Serving
 }
 
-// changes are those of all entries touched, what is not to be sent to first.
-func changes(missing, displaced []*entry, lines []pending) []Change {
-	all := make([]Change, 0, len(missing)+len(displaced)+len(lines))
-	add := func(e *entry, state State, anew bool) {
-		if state != e.known || anew && state != Gone {
+// collectChanges returns the changes of all entries that were missing, displaced or
+// updated, those to which requests must no longer be sent first.
+func collectChanges(missing, displaced []*entry, updates []update) []Change {
+	all := make([]Change, 0, len(missing)+len(displaced)+len(updates))
+	add := func(e *entry, state State, updated bool) {
+		if state != e.reported || updated && state != Gone {
 			all = append(all, Change{e.Member, state})
-			e.known = state
+			e.reported = state
 		}
 	}
 	for _, e := range missing {
@@ -213,14 +219,14 @@
 	for _, e := range displaced {
 		add(e, Gone, false)
 	}
-	for _, p := range lines {
-		if state := p.state(); state != Serving {
-			add(p.entry, state, !same(p.before, p.line))
+	for _, u := range updates {
+		if state := u.state(); state != Serving {
+			add(u.entry, state, !equalMembers(u.previous, u.current))
 		}
 	}
-	for _, p := range lines {
-		if p.state() == Serving {
-			add(p.entry, Serving, !same(p.before, p.line))
+	for _, u := range updates {
+		if u.state() == Serving {
+			add(u.entry, Serving, !equalMembers(u.previous, u.current))
 		}
 	}
 	return all
