--- a/choice/api.go
+++ b/choice/api.go
@@ -61,7 +61,7 @@
 	if !cfg.RetryAfterSupported {
 		return 0
 	}
-	return cfg.MaxRetryAfter / adviceParts
+	return cfg.MaxRetryAfter / retryAfterDivisor
 }
 
 // check names the first field that cannot be served.
--- a/choice/health.go
+++ b/choice/health.go
@@ -4,13 +4,13 @@
 
 import "time"
 
-// silent tells of a backend that takes attempts and answers none.
-func (g *Gateway) silent(b *backend) bool {
-	return b.out > 0 && (g.now-b.waiting).Seconds() > silentAims*g.longest.Seconds()
+// unresponsive tells of a backend that takes attempts and answers none.
+func (g *Gateway) unresponsive(b *backend) bool {
+	return b.inFlight > 0 && (g.now-b.waitingSince).Seconds() > unresponsiveAims*g.maxAim.Seconds()
 }
 
-// warmth is the least part of its capacity that a backend can have now.
-func (g *Gateway) warmth(b *backend) float64 {
+// capacityFraction is the least part of its capacity that a backend can have now.
+func (g *Gateway) capacityFraction(b *backend) float64 {
 	age := g.now - b.Started
 	if !b.StartKnown || g.cfg.WarmUpPeriod <= 0 || age >= g.cfg.WarmUpPeriod {
 		return 1
@@ -19,64 +19,64 @@
 	return from + (1-from)*max(0, age.Seconds())/g.cfg.WarmUpPeriod.Seconds()
 }
 
-// coldTurn returns the cold backend whose turn it is, or nil for a warm one's, and whether there are turns.
+// pickCold returns the cold backend whose turn it is, or nil for a warm one's, and whether there are turns.
 // It is left to chance, by least capacities: a cold backend falls under the sum of what all gateways send,
 // and each of them may find it the cheapest at the same moment, of a slow fleet above all. So that sum is its
 // part of all requests, however many gateways there are: no more than its capacity, of which the settings
 // allow a multiple, as long as the warm ones keep up with theirs. With no warm one there is nothing to
 // measure by.
-func (g *Gateway) coldTurn() (one *backend, turns bool) {
-	g.warmUp()
-	if n := g.cold.size(); n == 0 || n == g.fleet.size() || g.cfg.Gateways <= fewGateways {
+func (g *Gateway) pickCold() (one *backend, turns bool) {
+	g.updateCold()
+	if n := g.cold.size(); n == 0 || n == g.ready.size() || g.cfg.Gateways <= smallTierGateways {
 		return nil, false
 	}
-	sum := g.sizes
+	sum := g.readyWeight
 	for _, b := range g.cold.members {
-		sum -= g.size(b) * (1 - g.warmth(b))
+		sum -= g.capacityWeight(b) * (1 - g.capacityFraction(b))
 	}
 	at := g.rng.Float64() * sum
 	for _, b := range g.cold.members {
-		if at -= g.size(b) * g.warmth(b); at < 0 {
+		if at -= g.capacityWeight(b) * g.capacityFraction(b); at < 0 {
 			return b, true
 		}
 	}
 	return nil, true
 }
 
-// coldRoom keeps the work out at a cold backend in step with what a warm one holds.
-func (g *Gateway) coldRoom(b *backend) bool {
-	if !g.cold.has(b) || b.out == 0 {
+// withinColdLimit keeps the work out at a cold backend in step with what a warm one holds.
+func (g *Gateway) withinColdLimit(b *backend) bool {
+	if !g.cold.contains(b) || b.inFlight == 0 {
 		return true
 	}
-	out, warm := g.fleetOut-g.coldOut, g.fleet.size()-g.cold.size()
-	return warm > 0 && float64(b.out+1) <= g.warmth(b)*float64(out)/float64(warm)
+	out, warm := g.readyInFlight-g.coldInFlight, g.ready.size()-g.cold.size()
+	return warm > 0 && float64(b.inFlight+1) <= g.capacityFraction(b)*float64(out)/float64(warm)
 }
 
-// judge ejects a backend that fails far more than the fleet does.
-func (g *Gateway) judge(b *backend, failed bool, weight float64) {
+// recordResult ejects a backend that fails far more than the fleet does.
+func (g *Gateway) recordResult(b *backend, failed bool, weight float64) {
 	v := 0.0
 	if failed {
 		v = 1
 	}
-	b.fails += max(failAverage, weight) * (v - b.fails)
-	g.zones[b.Zone] += failAverage * (v - g.zones[b.Zone])
+	b.failureRate += max(failureRateWeight, weight) * (v - b.failureRate)
+	g.zoneFailureRates[b.Zone] += failureRateWeight * (v - g.zoneFailureRates[b.Zone])
 	if !failed {
 		return
 	}
 	g.expireEjections()
-	if g.now >= b.until && b.fails > ejectOver && float64(g.ejected+1) <= ejectMost*float64(g.fleet.size()) {
-		span := ejectAims * g.longest.Seconds()
+	if g.now >= b.ejectedUntil && b.failureRate > ejectionThreshold && float64(g.ejectedCount+1) <= maxEjectedShare*float64(g.ready.size()) {
+		span := ejectionPeriodAims * g.maxAim.Seconds()
 		g.eject(b, g.now+seconds(span*(0.8+0.4*g.rng.Float64())))
-		b.fails = 0
+		b.failureRate = 0
 	}
 }
 
 // ProbeResult takes the answer to a probe.
 func (g *Gateway) ProbeResult(now time.Duration, p ProbeResult) {
-	g.step(now)
+	g.advance(now)
 	b := g.backends[p.Backend]
-	if b != nil && p.Status == OK && g.inflight >= 0 && g.inflight < p.Load.Count {
-		b.others, b.reported = max(0, p.Load.Values[g.inflight]-float64(b.out)), now
-		g.held += latLeast * (b.others - g.held)
+	if b != nil && p.Status == OK && g.inFlightIndex >= 0 && g.inFlightIndex < p.Load.Count {
+		b.otherInFlight, b.reportedAt = max(0, p.Load.Values[g.inFlightIndex]-float64(b.inFlight)), now
+		g.meanOtherInFlight += minLatencyWeight * (b.otherInFlight - g.meanOtherInFlight)
 	}
 }
--- a/choice/membership.go
+++ b/choice/membership.go
@@ -15,10 +15,10 @@
 
 // The sets. A backend knows its place in each.
 const (
-	fleetSet setKind = iota
+	readySet setKind = iota
 	coldSet
-	keptSet
-	setKinds
+	reusableSet
+	setKindCount
 )
 
 // backendSet is a set whose order hangs on what happened alone, so that results do not hang on that of a map.
@@ -29,168 +29,168 @@
 
 func (s *backendSet) size() int { return len(s.members) }
 
-func (s *backendSet) has(b *backend) bool { return b.places[s.kind] > 0 }
+func (s *backendSet) contains(b *backend) bool { return b.positions[s.kind] > 0 }
 
 func (s *backendSet) add(b *backend) {
-	if !s.has(b) {
+	if !s.contains(b) {
 		s.members = append(s.members, b)
-		b.places[s.kind] = len(s.members)
+		b.positions[s.kind] = len(s.members)
 	}
 }
 
 // remove moves the last member to the place that gets free.
 func (s *backendSet) remove(b *backend) {
-	if !s.has(b) {
+	if !s.contains(b) {
 		return
 	}
-	place, last := b.places[s.kind]-1, len(s.members)-1
+	place, last := b.positions[s.kind]-1, len(s.members)-1
 	s.members[place] = s.members[last]
-	s.members[place].places[s.kind] = place + 1
+	s.members[place].positions[s.kind] = place + 1
 	s.members[last] = nil
 	s.members = s.members[:last]
-	b.places[s.kind] = 0
+	b.positions[s.kind] = 0
 }
 
 // UpdateBackends applies a list of backends from discovery. A delta takes time in proportion to its entries;
 // a complete list also takes time for the known backends that it does not name.
 func (g *Gateway) UpdateBackends(now time.Duration, kind ListKind, list []Backend) {
-	g.step(now)
+	g.advance(now)
 	if kind == Failed {
 		return
 	}
-	g.listing++
+	g.listNumber++
 	for _, m := range list {
 		b := g.backends[m.ID]
 		if b == nil {
-			b = &backend{lat: 1}
+			b = &backend{relativeLatency: 1}
 			g.backends[m.ID] = b
 		}
-		b.listing = g.listing
-		g.update(b, m)
+		b.listNumber = g.listNumber
+		g.updateBackend(b, m)
 	}
 	if kind != Delta {
-		g.removeUnnamed()
+		g.removeUnlisted()
 	}
 }
 
-// update gives a backend its new line.
-func (g *Gateway) update(b *backend, m Backend) {
+// updateBackend gives a backend its new line.
+func (g *Gateway) updateBackend(b *backend, m Backend) {
 	if b.StartKnown != m.StartKnown || b.Started != m.Started {
-		g.pardon(b)
-		g.kept.remove(b)
-		b.fails, b.lat, b.kept = 0, 1, 0
+		g.endEjection(b)
+		g.reusable.remove(b)
+		b.failureRate, b.relativeLatency, b.reusableConns = 0, 1, 0
 	}
 	switch {
-	case !g.fleet.has(b):
+	case !g.ready.contains(b):
 	case m.State == Ready:
-		g.sizes -= g.size(b) // it joins with the new one
+		g.readyWeight -= g.capacityWeight(b) // it joins with the new one
 	default:
-		g.leave(b)
+		g.removeReady(b)
 	}
 	if b.Backend = m; m.State == Ready {
-		g.join(b)
+		g.addReady(b)
 	}
-	g.forget(b)
+	g.dropIfRemoved(b)
 }
 
-// removeUnnamed removes what the last list did not name. It goes by the fleet's order, not the map's, since
+// removeUnlisted removes what the last list did not name. It goes by the fleet's order, not the map's, since
 // the order of the fleet that is left shows in the results.
-func (g *Gateway) removeUnnamed() {
-	for place := g.fleet.size() - 1; place >= 0; place-- {
-		if b := g.fleet.members[place]; b.listing != g.listing {
-			g.leave(b)
+func (g *Gateway) removeUnlisted() {
+	for place := g.ready.size() - 1; place >= 0; place-- {
+		if b := g.ready.members[place]; b.listNumber != g.listNumber {
+			g.removeReady(b)
 		}
 	}
 	for _, b := range g.backends {
-		if b.listing != g.listing {
+		if b.listNumber != g.listNumber {
 			b.State = Removed
-			g.forget(b)
+			g.dropIfRemoved(b)
 		}
 	}
 }
 
-// forget drops a backend that was removed, once nothing is out at it.
-func (g *Gateway) forget(b *backend) {
-	if b.State == Removed && b.out == 0 && g.backends[b.ID] == b {
+// dropIfRemoved drops a backend that was removed, once nothing is out at it.
+func (g *Gateway) dropIfRemoved(b *backend) {
+	if b.State == Removed && b.inFlight == 0 && g.backends[b.ID] == b {
 		delete(g.backends, b.ID)
 	}
 }
 
-// join takes a backend with a new line into the fleet, if it is not there.
-func (g *Gateway) join(b *backend) {
-	g.sizes += g.size(b)
-	if g.warmth(b) < 1 {
+// addReady takes a backend with a new line into the fleet, if it is not there.
+func (g *Gateway) addReady(b *backend) {
+	g.readyWeight += g.capacityWeight(b)
+	if g.capacityFraction(b) < 1 {
 		g.cold.add(b)
 	} else {
 		g.cold.remove(b)
 	}
-	if g.fleet.has(b) {
+	if g.ready.contains(b) {
 		return
 	}
 	g.expireEjections()
-	g.fleet.add(b)
-	g.fleetOut += b.out
-	if g.now < b.until {
-		g.ejected++
+	g.ready.add(b)
+	g.readyInFlight += b.inFlight
+	if g.now < b.ejectedUntil {
+		g.ejectedCount++
 	}
-	g.keep(b)
+	g.addReusable(b)
 }
 
-// leave takes a backend out of the fleet.
-func (g *Gateway) leave(b *backend) {
+// removeReady takes a backend out of the fleet.
+func (g *Gateway) removeReady(b *backend) {
 	g.expireEjections()
-	if g.now < b.until {
-		g.ejected--
+	if g.now < b.ejectedUntil {
+		g.ejectedCount--
 	}
-	g.sizes -= g.size(b)
-	g.fleetOut -= b.out
-	g.fleet.remove(b)
+	g.readyWeight -= g.capacityWeight(b)
+	g.readyInFlight -= b.inFlight
+	g.ready.remove(b)
 	g.cold.remove(b)
-	g.kept.remove(b)
+	g.reusable.remove(b)
 }
 
 // Cold backends.
 
-// warmUp takes those out of the cold ones that are warm by now, and adds up the attempts out at the others.
+// updateCold takes those out of the cold ones that are warm by now, and adds up the attempts out at the others.
 // It walks the cold ones alone.
-func (g *Gateway) warmUp() {
-	g.coldOut = 0
+func (g *Gateway) updateCold() {
+	g.coldInFlight = 0
 	for place := g.cold.size() - 1; place >= 0; place-- {
-		if b := g.cold.members[place]; g.warmth(b) >= 1 {
+		if b := g.cold.members[place]; g.capacityFraction(b) >= 1 {
 			g.cold.remove(b)
 		} else {
-			g.coldOut += b.out
+			g.coldInFlight += b.inFlight
 		}
 	}
 }
 
 // Kept connections.
 
-// keptEntry is a backend with a kept connection and when it was heard of.
-type keptEntry struct {
-	heard time.Duration
+// reusableEntry is a backend with a kept connection and when it was heard of.
+type reusableEntry struct {
+	lastOutcome time.Duration
 	*backend
 }
 
-// keep takes a backend in which an own connection may be used again, as long as that is so.
-func (g *Gateway) keep(b *backend) {
-	if g.cfg.HandshakeCost <= 0 || !g.fleet.has(b) || !g.reusable(b) {
+// addReusable takes a backend in which an own connection may be used again, as long as that is so.
+func (g *Gateway) addReusable(b *backend) {
+	if g.cfg.HandshakeCost <= 0 || !g.ready.contains(b) || !g.hasReusableConn(b) {
 		return
 	}
-	g.kept.add(b)
+	g.reusable.add(b)
 	if g.cfg.ConnIdleTimeout > 0 {
-		g.expireKept()
-		g.keptQueue = append(g.keptQueue, keptEntry{b.heard, b})
+		g.expireReusable()
+		g.reusableQueue = append(g.reusableQueue, reusableEntry{b.lastOutcome, b})
 	}
 }
 
-// expireKept takes those out whose connections have been idle for too long since they were last heard of.
-func (g *Gateway) expireKept() {
-	for len(g.keptQueue) > 0 && g.now-g.keptQueue[0].heard > g.cfg.ConnIdleTimeout/2 {
-		if first := g.keptQueue[0]; first.backend.heard == first.heard {
-			g.kept.remove(first.backend)
+// expireReusable takes those out whose connections have been idle for too long since they were last heard of.
+func (g *Gateway) expireReusable() {
+	for len(g.reusableQueue) > 0 && g.now-g.reusableQueue[0].lastOutcome > g.cfg.ConnIdleTimeout/2 {
+		if first := g.reusableQueue[0]; first.backend.lastOutcome == first.lastOutcome {
+			g.reusable.remove(first.backend)
 		}
-		g.keptQueue = g.keptQueue[1:]
+		g.reusableQueue = g.reusableQueue[1:]
 	}
 }
 
@@ -204,23 +204,23 @@
 
 // eject keeps a backend from further requests until a time.
 func (g *Gateway) eject(b *backend, until time.Duration) {
-	b.until = until
+	b.ejectedUntil = until
 	place, _ := slices.BinarySearchFunc(g.ejections, until, func(e ejection, until time.Duration) int {
 		return cmp.Compare(e.until, until)
 	})
 	g.ejections = slices.Insert(g.ejections, place, ejection{until, b})
-	if g.fleet.has(b) {
-		g.ejected++
+	if g.ready.contains(b) {
+		g.ejectedCount++
 	}
 }
 
-// pardon ends a backend's ejection.
-func (g *Gateway) pardon(b *backend) {
+// endEjection ends a backend's ejection.
+func (g *Gateway) endEjection(b *backend) {
 	g.expireEjections()
-	if g.fleet.has(b) && g.now < b.until {
-		g.ejected--
+	if g.ready.contains(b) && g.now < b.ejectedUntil {
+		g.ejectedCount--
 	}
-	b.until = 0
+	b.ejectedUntil = 0
 }
 
 // expireEjections counts no more the ejections that have ended.
@@ -228,8 +228,8 @@
 	for len(g.ejections) > 0 && g.ejections[0].until <= g.now {
 		e := g.ejections[0]
 		g.ejections = g.ejections[1:]
-		if e.backend.until == e.until && g.fleet.has(e.backend) {
-			g.ejected--
+		if e.backend.ejectedUntil == e.until && g.ready.contains(e.backend) {
+			g.ejectedCount--
 		}
 	}
 }
