--- a/choice/api.go
+++ b/choice/api.go
@@ -1,13 +1,12 @@
-// Package choice makes the decisions of a quota-keeping gateway: which
-// requests of a customer to pass, which backend to send each attempt to, when
-// to try again and what to answer.
+// Package choice makes the decisions of a gateway that enforces customers' quotas: which requests to admit,
+// which backend to send each attempt to, when to retry or to hedge a request, and what to answer.
 //
-// A [Gateway] is a pure state machine. The caller tells it what happened
-// ([Gateway.Request], [Gateway.Outcome], [Gateway.UpdateBackends], [Gateway.ProbeResult],
-// [Gateway.TimerExpired], [Gateway.ClientDisconnected]) and it acts through [Actions]. It starts no
-// goroutine and reads no clock: time is a [time.Duration] on the caller's
-// clock, which may begin anywhere and never goes back. The same seed and
-// events give the same actions. A Gateway is not safe for concurrent use.
+// A [Gateway] is a deterministic state machine without input or output of its own. The caller reports
+// events ([Gateway.Request], [Gateway.Outcome], [Gateway.UpdateBackends], [Gateway.ProbeResult],
+// [Gateway.TimerExpired], [Gateway.ClientDisconnected], [Gateway.Stop]) and the gateway responds through
+// [Actions]. It starts no goroutine and reads no clock: time is a [time.Duration] on the caller's clock,
+// which may start at any value and must never go back. The same seed and events give the same actions. A
+// Gateway is not safe for concurrent use.
 package choice
 
 import (
@@ -16,11 +15,10 @@
 	"time"
 )
 
-// Config is what a deployment states to each of its gateways. Durations and
-// rates are as stated; New returns an error that names what cannot be served.
+// Config is the configuration of one gateway. New returns an error that names a field with an invalid value.
 type Config struct {
 	Gateways int // gateways in this tier
-	Self     int // number of this gateway, from 0
+	Self     int // index of this gateway, from 0
 	Zone     int // zone of this gateway
 	Tick     time.Duration
 
@@ -28,35 +26,37 @@
 	Plans   []Plan
 
 	MeterPeriod time.Duration // the period over which the meter adds up use; 0: no meter
-	MaxUnits    float64       // the most units that one request counts
+	MaxUnits    float64       // upper bound of Request.Units
 
-	MaxAttempts         int  // attempts a request may have
-	Hedging             bool // a request may have two attempts out at once
+	MaxAttempts         int  // attempts that a request may have
+	Hedging             bool // a request may have two attempts in flight at once
 	Probing             bool // Actions.Probe is permitted
 	Cancelling          bool // Actions.Cancel is permitted
 	MaxRetryAfter       time.Duration
 	RetryAfterSupported bool // clients receive the advice given with Refuse
 
-	WeightsTrusted bool     // Backend.Weight is the registered size, at least roughly
+	WeightsTrusted bool     // Backend.Weight is the registered capacity, at least approximately
 	ReportFields   []string // order of the values in a load report; "inflight" and "latency_ms" are known
 
-	// MaxCustomers is how many customers are known at most, but for those with attempts out; 0: no bound.
+	// MaxCustomers limits the customers in memory; those with attempts in flight may exceed it. 0: no limit.
 	MaxCustomers int
 
-	InitialCapacity    float64       // a backend starts at this part of its capacity, or more
-	WarmUpPeriod       time.Duration // and is warm after this at most
-	ColdOverloadFactor float64       // a cold backend sent more than this multiple of its capacity
-	ColdOverloadPeriod time.Duration // for this long falls over
+	InitialCapacity float64       // a starting backend has at least this fraction of its capacity
+	WarmUpPeriod    time.Duration // upper bound of the time from its start to its full capacity
+	// A cold backend fails if it is sent more than ColdOverloadFactor times its capacity for
+	// ColdOverloadPeriod.
+	ColdOverloadFactor float64
+	ColdOverloadPeriod time.Duration
 	DrainGrace         time.Duration // sends to a draining backend must have ceased by then
-	HandshakeCost      float64       // price of a new connection, as a fraction of a request's worth
-	// ConnIdleTimeout is after how long a backend closes an idle connection at the latest; 0: unknown.
+	HandshakeCost      float64       // cost of a new connection, as a fraction of a request's worth
+	// ConnIdleTimeout is the longest time for which a backend keeps an idle connection open; 0: unknown.
 	ConnIdleTimeout time.Duration
-	// ConnectTimeout is how long a new connection may take: an attempt may begin so much after its Send.
+	// ConnectTimeout limits the set-up of a connection: an attempt may start this long after its Send.
 	ConnectTimeout time.Duration
-	CrossZoneCost  float64 // price of an attempt that leaves the zone, as a part of a request's worth
+	CrossZoneCost  float64 // cost of an attempt that leaves the zone, as a fraction of a request's worth
 }
 
-// RetryAfterHint is when a client that is refused should come back; 0: it is told no time.
+// RetryAfterHint is the time after which a refused client should retry; 0: the client is told no time.
 func (cfg *Config) RetryAfterHint() time.Duration {
 	if !cfg.RetryAfterSupported {
 		return 0
@@ -64,7 +64,7 @@
 	return cfg.MaxRetryAfter / retryAfterDivisor
 }
 
-// check names the first field that cannot be served.
+// check returns an error that names the first field with an invalid value.
 func (cfg *Config) check() error {
 	switch {
 	case cfg.Gateways < 1:
@@ -97,17 +97,17 @@
 	return nil
 }
 
-// Effect tells what repeating a request of a class may do.
+// Effect tells whether requests of a class may be repeated.
 type Effect int
 
 // The effects of a class.
 const (
-	Free       Effect = iota // may be repeated at will
-	Guarded                  // repeats are dropped inside a group of backends, for a time
+	Free       Effect = iota // idempotent: may be repeated without limit
+	Guarded                  // repeats are deduplicated within a group of backends, for Class.DedupWindow
 	SingleShot               // must never run twice
 )
 
-// Group is the set of backends that drop each other's repeats.
+// Group is the set of backends that deduplicate each other's requests.
 type Group int
 
 // The groups of a guarded class.
@@ -119,29 +119,29 @@
 
 // Class is a class of requests.
 type Class struct {
-	Aim         time.Duration // an answer within this earns the full worth
-	Deadline    time.Duration // the longest a client waits
+	Aim         time.Duration // latency target: an answer within it earns the full worth
+	Deadline    time.Duration // the longest time that a client waits
 	Worth       float64
-	LateWorth   float64 // part of the worth that an answer after the aim earns
+	LateWorth   float64 // fraction of the worth that an answer after the aim earns
 	Effect      Effect
 	Group       Group         // for Guarded
-	DedupWindow time.Duration // for Guarded: how long repeats are dropped
+	DedupWindow time.Duration // for Guarded: how long repeats are deduplicated
 }
 
-// Plan is what a customer has bought. Its quotas hold for each customer over
-// all gateways together.
+// Plan is what a customer has bought. Its quotas apply to each customer over all gateways together. The rate
+// and the ceiling are each enforced by a token bucket.
 type Plan struct {
-	Rate             float64 // units a second that fill the store; 0: no such quota
-	Burst            float64 // the most units the store holds; it starts full
-	MaxInFlight      int     // attempts that may be out at once; 0: no such quota
+	Rate             float64 // refill rate of the quota's bucket, in units a second; 0: no such quota
+	Burst            float64 // size of the quota's bucket in units; it starts full
+	MaxInFlight      int     // attempts that may be in flight at once; 0: no such quota
 	Price            float64 // multiplier of the worth
-	OveruseCost      float64 // part of its worth that a try sent on beyond the quota costs
-	CeilingRate      float64 // units a second that fill the hard ceiling's store; 0: no ceiling
-	CeilingBurst     float64 // the most units that store holds
-	CeilingTolerance float64 // how far that store may go below 0
+	OveruseCost      float64 // fraction of its worth that a request admitted beyond the quota costs
+	CeilingRate      float64 // refill rate of the hard ceiling's bucket, in units a second; 0: no ceiling
+	CeilingBurst     float64 // size of the ceiling's bucket in units
+	CeilingTolerance float64 // how far the ceiling's bucket may go below 0
 }
 
-// State is what the list of backends says of one.
+// State is the state of a backend in discovery's list.
 type State int
 
 // The states of a backend.
@@ -151,7 +151,7 @@
 	Removed
 )
 
-// Backend is one line of the list of backends.
+// Backend is one entry of the list of backends.
 type Backend struct {
 	ID         uint32
 	Zone       int
@@ -159,38 +159,39 @@
 	Cell       int
 	State      State
 	Weight     float64
-	Started    time.Duration // clock time of its last start
-	StartKnown bool          // Started is known; otherwise it started long ago
+	Started    time.Duration // time of its last start, on the caller's clock
+	StartKnown bool          // Started is known; otherwise the backend counts as warm
 }
 
-// ListKind tells what a list of backends holds.
+// ListKind is the kind of a list of backends.
 type ListKind int
 
 // The kinds of list.
 const (
 	Delta  ListKind = iota // changed entries only
 	Full                   // the complete list
-	Cached                 // the complete list as last held, perhaps out of date
-	Failed                 // no list: asking failed, the last one stays in force
+	Cached                 // the last known complete list, possibly out of date
+	Failed                 // no list: discovery did not answer, and the last list stays in force
 )
 
-// Request is one try of a client.
+// Request is one request of a client.
 type Request struct {
 	ID          uint32
 	Class       int
 	Plan        int
 	Customer    uint64
-	TimeLeft    time.Duration // the client gives this try up after it
-	Units       float64       // what it draws from the quota
-	SetSize     int           // gateways through which this customer's requests may come
-	SetStart    int           // the first of these
+	TimeLeft    time.Duration // time until the client gives up
+	Units       float64       // units drawn from the quota
+	SetSize     int           // number of gateways in the customer's gateway set
+	SetStart    int           // index of the first gateway of that set
 	ClientRetry bool          // marked by the client as a retry: another gateway refused the customer
 }
 
 // Status is how an attempt ended.
 type Status int
 
-// The ends of an attempt. Refused, ConnectFailed and CancelledBeforeSend prove that it never ran.
+// The results of an attempt. After Refused, ConnectFailed and CancelledBeforeSend it is certain that the
+// backend did not execute the request.
 const (
 	OK Status = iota
 	Error
@@ -202,14 +203,14 @@
 	CancelledBeforeSend
 )
 
-// Load is a backend's report of its load, in the order of
-// Config.ReportFields; N is 0 where none came.
+// Load is a backend's load report: the values are in the order of Config.ReportFields, and Count is 0 if the
+// answer contained no report.
 type Load struct {
 	Count  int
 	Values [4]float64
 }
 
-// Outcome is the one end of one attempt.
+// Outcome is the result of one attempt. Each attempt has exactly one.
 type Outcome struct {
 	ID       uint32
 	Attempt  int
@@ -218,14 +219,14 @@
 	Elapsed  time.Duration
 	Answered bool // the request has its final answer
 	// Metered tells that Used was reported: the customer's use over all
-	// gateways in the last period added up, as a fraction of its rate (of the
-	// cap on open attempts where the plan has no rate).
+	// gateways in the last period added up, as a fraction of its rate (of
+	// Plan.MaxInFlight where the plan has no rate).
 	Metered bool
 	Used    float64
 	Load    Load
 }
 
-// ProbeResult is the answer to one Actions.ProbeResult.
+// ProbeResult is the result of one Actions.Probe.
 type ProbeResult struct {
 	Backend uint32
 	Status  Status
@@ -233,25 +234,25 @@
 	Load    Load
 }
 
-// Reason tells why a request was refused or failed, for logs. Nothing is decided by it.
+// Reason tells why a request was refused or failed. It is for logs; no decision depends on it.
 type Reason int
 
-// The reasons. None means that nothing stood against the request or the attempt.
+// The reasons. None means that the request was admitted, or that the attempt was sent.
 const (
 	None              Reason = iota
-	Invalid                  // the request names what the settings do not have
-	DeadlinePassed           // its client gives it up now
-	Quota                    // the customer's chance, or the store that the meter shows
-	Ceiling                  // this gateway's part of the customer's hard ceiling is drawn
-	InFlightCap              // the customer has as many attempts out as the plan allows
-	ConcurrencyLimit         // the window of attempts out is full
-	NoBackend                // no backend may be sent to
-	AttemptsExhausted        // it has had all attempts that the settings allow
-	AttemptInFlight          // an attempt is out, and the settings allow no second copy
-	RetryBudget              // too few further attempts have been earned
+	Invalid                  // the request names an unknown class or plan, or an invalid number of units
+	DeadlinePassed           // the client has no time left
+	Quota                    // rejected by the admission probability or by the quota's token bucket
+	Ceiling                  // this gateway's share of the customer's hard ceiling is used up
+	InFlightCap              // the customer has as many attempts in flight as the plan allows
+	ConcurrencyLimit         // this gateway has as many attempts in flight as the backends can serve
+	NoBackend                // no backend is eligible
+	AttemptsExhausted        // the request has had Config.MaxAttempts attempts
+	AttemptInFlight          // an attempt is in flight, and the configuration does not allow hedging
+	RetryBudget              // the retry budget is used up
 	NotRepeatable            // an attempt may have run, and the class must not run twice
-	Abandoned                // the attempt was called off before it was written
-	Stopping                 // the process ends before its client would give it up
+	Abandoned                // the attempt was cancelled before it was sent
+	Stopping                 // the process ends before the request's deadline
 )
 
 var reasonNames = [...]string{"none", "invalid", "no-time", "quota", "ceiling", "open-cap", "pressure",
@@ -264,19 +265,20 @@
 
 func (s Status) String() string { return statusNames[s] }
 
-// Actions is what a Gateway does. Calls come only from within its methods and
-// must not call back into it.
+// Actions carries out the decisions of a Gateway. Its methods are called only from within the Gateway's
+// methods and must not call back into it.
 type Actions interface {
-	// Send starts the next attempt of a request, given up after timeout.
+	// Send starts the next attempt of a request, with a time limit.
 	Send(id, backend uint32, timeout time.Duration)
-	// Refuse is a final answer: trying again does no harm. After 0 gives no advice.
+	// Refuse gives the final answer that the request did not take effect and that it is safe to retry. The
+	// client should retry after the given time; 0: the gateway gives no advice.
 	Refuse(id uint32, after time.Duration, reason Reason)
-	// Fail is a final answer that promises nothing.
+	// Fail gives the final answer that the request failed and may have taken effect.
 	Fail(id uint32, reason Reason)
-	// Cancel stops the wait for an attempt.
+	// Cancel stops waiting for an attempt.
 	Cancel(id uint32, attempt int)
-	// Probe checks a backend.
+	// Probe requests a load report from a backend.
 	Probe(backend uint32)
-	// SetTimer asks for a Timer call with the token.
+	// SetTimer requests a call of Gateway.TimerExpired with the token after the given time.
 	SetTimer(wait time.Duration, token uint64)
 }
--- a/choice/settings.go
+++ b/choice/settings.go
@@ -1,69 +1,110 @@
 package choice
 
-// Settings. All tuned values stand here; each is a ratio to what Config states.
+// Parameters of the algorithms. Durations are in meter periods or in multiples of a class's aim (Class.Aim),
+// so that they scale with what Config gives. The weight in an exponentially weighted moving average (EWMA) is
+// the fraction of the new value that a sample makes up.
 const (
-	smallTierGateways        = 4.0  // gateways up to which each sees enough of every customer, and traffic falls evenly
-	rateWindowUnits          = 8.0  // units: the offered rate is averaged over the time the rate takes to fill them
-	minRateWindowPeriods     = 1.5  // meter periods: the shortest such average
-	inFlightWindowPeriods    = 2.0  // meter periods: the average where the reading is of open attempts
-	surgeAllowanceUnits      = 0.4  // units: asked above the expected, they begin to tell of a surge
+	smallTierGateways = 4.0 // gateways up to which each sees enough of every customer, and traffic is even
+
+	// Estimate of a customer's rate from meter readings.
+
+	rateWindowUnits       = 8.0 // units of quota in the time over which the rate is averaged
+	minRateWindowPeriods  = 1.5 // meter periods: lower bound of that window
+	inFlightWindowPeriods = 2.0 // meter periods: the window where readings are of attempts in flight
+
+	// Surge: demand above the expected since the last meter period.
+
+	surgeAllowanceUnits      = 0.4  // units above the expected demand that do not count as a surge
 	surgeAllowancePerGateway = 0.05 // the same, for each gateway of the customer's set, where that is more
-	clientRetrySurgeUnits    = 1.5  // units as which a client's repeat counts besides: another gateway has refused it
-	meanToPeakInFlightRatio  = 0.4  // mean of open attempts over their peak in a period
-	tokenReserveDeviations   = 2.0  // deviations of what others may have passed since that the store must hold besides,
-	// where a try beyond the quota costs its whole worth
-	maxTokenEstimateAgePeriods = 6.0  // meter periods after which the store last shown says nothing of the one now
-	initialUseRatio            = 0.8  // share of its quota that a customer is taken to ask before any reading
-	initialOveruseFloor        = 0.6  // use of the quota from which a first reading begins to tell of a customer beyond it
-	initialRejectedShare       = 0.5  // share of what is asked that others then refuse, with the reading at the quota
-	initialDrawnShare          = 0.9  // and share of the store that is then drawn
-	meterPriorUnits            = 1.7  // units of quota in a reading that weigh as much as that guess
-	localPriorUnits            = 0.7  // units of own part of the quota that weigh as much as it, where there is no meter
-	minUseRatio                = 0.25 // share of its quota that a customer is taken to ask at least
-	minAdmitProbability        = 0.02 // floor of the admit chance, so that some answers always bring readings
-	initialLagPeriods          = 2    // meter periods from the end of a period to its first reading, until learned
-	maxLagPeriods              = 13   // meter periods of lag that can be told
-	lagWindowReadings          = 100  // readings over which the lag is learned
-	slotsPerPeriod             = 4    // slots of own history in one meter period
-	historySlots               = 64   // slots of own history kept: lagMost periods and a little more
-	customerIdlePeriods        = 60.0 // meter periods without a request after which a full customer is forgotten
-	maxEvictionScan            = 8    // customers of a plan that are looked at in one sweep
-	failureRateWeight          = 0.15 // weight of one outcome in a backend's share of failures
-	ejectionThreshold          = 0.5  // share of failures at which a backend is ejected
-	maxEjectedShare            = 0.4  // share of the ready fleet that may be ejected at once
-	ejectionPeriodAims         = 8.0  // longest aims that an ejection lasts
-	unresponsiveAims           = 0.4  // longest aims without any answer while attempts are out: the backend is silent
-	hedgeDelayAims             = 0.65 // aims of waiting before a further attempt may be made for want of an answer
-	retryBudgetRatio           = 0.08 // further attempts earned by one first attempt
-	retryBudgetCap             = 6.0  // further attempts that may be saved up
-	latencyWindowAims          = 5.0  // longest aims over which a backend's latency is averaged, however few its answers
-	minLatencyWeight           = 0.05 // weight of one answer in it at least
-	timeoutLatencyWeight       = 4.0  // a time-out weighs as so many answers
-	maxRelativeLatency         = 8.0  // means: one answer counts as no slower
-	slowBackendFloor           = 2.5  // fleet means at which a backend's latency no longer speaks for the fleet
-	targetLatencyAims          = 0.35 // mean latency in aims above which the fleet counts as pressed
-	maxLimitDecrease           = 0.25 // most that one step takes off the window of attempts out
-	maxLimitIncrease           = 0.10 // most that one step adds to it
-	maxLatencyStepWeight       = 0.3  // most weight of one step's answers in the mean latency that the window follows
-	maxLatencySample           = 2.0  // calm latencies as which one answer counts at most, near a median
-	latencySampleWeight        = 0.2  // weight of one answer in it
-	maxInFlightPerBackend      = 5.0  // attempts out for each ready backend, all gateways together, with the window open
-	minLimitFactor             = 0.2  // part of the window that stays open
-	limitSlackDeviations       = 1.0  // deviations by which chance may take the attempts out beyond the window
-	limitPassRateWeight        = 0.05 // weight of one request in the share that no pressure refuses
-	reservedLimitShare         = 0.5  // share of the window kept for the work of most worth
-	limitUpdatesPerSecond      = 5.0  // steps of the window in one second
-	minPickSamples             = 3    // backends taken by chance of which the best is picked, at least
-	tierPickSamplesPerBackend  = 3    // fleets of such picks at one time, over all gateways
-	minReusableGateways        = 15.0 // gateways that keep to each backend at least: their sum is even to a quarter
-	ownInFlightWeight          = 1.5  // weight of an own attempt out at a backend
-	otherInFlightWeight        = 0.5  // weight of a request that its report shows besides
-	minCostLatency             = 0.5  // means: no backend's latency counts as shorter
-	crossZoneWeight            = 5.0  // weight of the price for leaving the zone
-	handshakeWeight            = 12.0 // weight of the price for a fresh connection
-	failureWeight              = 4.0  // weight of a share of failures
-	costJitterFactor           = 0.1  // part of the cost left to chance
-	probesPerRequest           = 0.3  // probes earned by one first attempt, where reports show the requests held
-	maxReportAgeAims           = 3.0  // longest aims for which a report tells of its own backend, not of the fleet alone
-	retryAfterDivisor          = 5    // advice given with a refusal: the longest that clients follow over this
+	clientRetrySurgeUnits    = 1.5  // units that a client's retry adds: another gateway has refused it
+	meanToPeakInFlightRatio  = 0.4  // mean of attempts in flight over their peak in a period
+
+	// Use of the token bucket between readings. The reserve covers what other gateways may have admitted
+	// since the last reading. It applies in full where overuse costs the whole worth.
+
+	tokenReserveDeviations = 2.0 // standard deviations of the other gateways' use
+	// The token count of the last reading is out of date after this time.
+	maxTokenEstimateAgePeriods = 6.0 // meter periods
+
+	// Assumptions on a customer that has no reading yet, and their weight.
+
+	initialUseRatio      = 0.8 // assumed demand, as a fraction of the quota
+	initialOveruseFloor  = 0.6 // a first reading above this fraction of the quota indicates overuse
+	initialRejectedShare = 0.5 // share that the other gateways then reject, if the reading is at the quota
+	initialDrawnShare    = 0.9 // share of the token bucket that is then drawn
+	meterPriorUnits      = 1.7 // units of quota in a reading that weigh as much as the assumed demand
+	localPriorUnits      = 0.7 // the same without a meter: units of this gateway's share of the quota
+
+	minUseRatio         = 0.25 // lower bound of the assumed demand, as a fraction of the quota
+	minAdmitProbability = 0.02 // above 0, so that some answers always bring readings
+
+	// Lag of the meter, and the history of a customer that is kept to match readings with it.
+
+	initialLagPeriods = 2   // meter periods from the end of a period to its first reading, until learned
+	maxLagPeriods     = 13  // meter periods: the longest lag that is recognised
+	lagWindowReadings = 100 // readings over which the lag is averaged
+	slotsPerPeriod    = 4   // slots of history in one meter period
+	historySlots      = 64  // slots kept: more than maxLagPeriods
+
+	// Eviction of idle customers.
+
+	customerIdlePeriods = 60.0 // meter periods without a request after which a customer may be evicted
+	maxEvictionScan     = 8    // customers of a plan that one eviction pass examines
+
+	// Outlier ejection.
+
+	failureRateWeight  = 0.15 // EWMA weight of one outcome in a failure rate
+	ejectionThreshold  = 0.5  // failure rate above which a backend is ejected
+	maxEjectedShare    = 0.4  // share of the ready backends that may be ejected at once
+	ejectionPeriodAims = 8.0  // longest aims that an ejection lasts
+	unresponsiveAims   = 0.4  // longest aims without an answer, with attempts in flight: unresponsive
+
+	// Retries and hedged requests.
+
+	hedgeDelayAims   = 0.65 // aims without an answer after which a request may be hedged
+	retryBudgetRatio = 0.08 // budget for further attempts that one first attempt earns
+	retryBudgetCap   = 6.0  // further attempts that may be saved up
+
+	// Latency of backends.
+
+	latencyWindowAims    = 5.0  // longest aims over which a backend's latency is averaged
+	minLatencyWeight     = 0.05 // lower bound of an answer's EWMA weight in it
+	timeoutLatencyWeight = 4.0  // a time-out weighs as many answers
+	maxRelativeLatency   = 8.0  // class means: upper bound of one sample
+	slowBackendFloor     = 2.5  // class means from which a backend does not count in the averages of all
+
+	// Concurrency limit, which follows the latency of all backends.
+
+	targetLatencyAims     = 0.35 // target latency in aims: above it the limit shrinks
+	maxLimitDecrease      = 0.25 // largest relative decrease in one update
+	maxLimitIncrease      = 0.10 // largest relative increase in one update
+	maxLatencyStepWeight  = 0.3  // largest EWMA weight of the answers between two updates
+	maxLatencySample      = 2.0  // target latencies: upper bound of one sample, for a mean near a median
+	latencySampleWeight   = 0.2  // EWMA weight of one sample
+	maxInFlightPerBackend = 5.0  // attempts of all gateways in flight for each ready backend, at full limit
+	minLimitFactor        = 0.2  // lower bound of the limit, as a fraction of the full one
+	limitSlackDeviations  = 1.0  // standard deviations of random arrivals that the limit leaves room for
+	limitPassRateWeight   = 0.05 // EWMA weight of one request in the share that the limit lets through
+	reservedLimitShare    = 0.5  // share of the limit reserved for the requests of most worth
+	limitUpdatesPerSecond = 5.0  // frequency of the updates above
+
+	// Choice of a backend: the cheapest of a few random samples.
+
+	minPickSamples            = 3    // lower bound of the samples for one attempt
+	tierPickSamplesPerBackend = 3    // samples for each backend when all gateways choose at one time
+	minReusableGateways       = 15.0 // gateways that reuse connections to a backend, for a load even to 1/4
+	ownInFlightWeight         = 1.5  // cost of one attempt of this gateway in flight at the backend
+	otherInFlightWeight       = 0.5  // cost of one request of other gateways in the backend's report
+	minCostLatency            = 0.5  // class means: lower bound of a backend's latency in its cost
+	crossZoneWeight           = 5.0  // weight of Config.CrossZoneCost
+	handshakeWeight           = 12.0 // weight of Config.HandshakeCost
+	failureWeight             = 4.0  // weight of the failure rates of the backend and of its zone
+	costJitterFactor          = 0.1  // largest random part of the cost
+
+	// Probes, where load reports contain the requests in flight.
+
+	probesPerRequest = 0.3 // probes that one first attempt earns
+	maxReportAgeAims = 3.0 // longest aims after which a report counts in the mean of all backends alone
+
+	retryAfterDivisor = 5 // the advice is Config.MaxRetryAfter, the longest that clients follow, over this
 )
