--- a/choice/admission.go
+++ b/choice/admission.go
@@ -1,13 +1,13 @@
 package choice
 
-// Admission: whether a request passes the quota of its customer and the hard ceiling.
+// Admission: whether a request is within its customer's quota, the hard ceiling and the concurrency limit.
 
 import (
 	"math"
 	"time"
 )
 
-// Request takes one try of a client and answers it, or sends it on.
+// Request handles a request of a client: it refuses the request or sends the first attempt.
 func (g *Gateway) Request(now time.Duration, in Request) {
 	g.advance(now)
 	if g.requests[in.ID] != nil {
@@ -40,109 +40,120 @@
 	}
 }
 
-// admit is the ordinary path. While the store that the meter shows holds units, this gateway's even share of
-// them passes without the chance; all else meets the one chance a = 1 - b.
+// admit decides on a request. A request within this gateway's even share of the tokens left in the quota's
+// bucket, as last metered, is always admitted; others are admitted with the customer's admission probability
+// a = 1 - b. Nothing is admitted beyond the concurrency limit, the ceiling or the cap on attempts in flight.
 func (g *Gateway) admit(c *customer, r *request) Reason {
 	g.advanceSlots(c)
-	u := r.Units
+	units := r.Units
 	surge := g.surgeFactor(c, r.ClientRetry)
 	if g.cfg.MeterPeriod <= 0 {
-		c.admitProbability = g.localAdmitProbability(c, u)
+		c.admitProbability = g.localAdmitProbability(c, units)
 	}
-	chance := min(1, max(c.admitProbability/surge, minAdmitProbability))
-	p, pressed := c.plan, g.exceedsLimit(r, chance)
+	probability := min(1, max(c.admitProbability/surge, minAdmitProbability))
+	p, overLimit := c.plan, g.exceedsLimit(r, probability)
 	g.limitPassRate *= 1 - limitPassRateWeight
-	if !pressed {
+	if !overLimit {
 		g.limitPassRate += limitPassRateWeight
 	}
-	against := Quota
-	if pressed {
-		chance, against = 0, ConcurrencyLimit
-	} else if !g.ceilingAllows(c, u) {
-		chance, against = 0, Ceiling
+	reason := Quota
+	if overLimit {
+		probability, reason = 0, ConcurrencyLimit
+	} else if !g.ceilingAllows(c, units) {
+		probability, reason = 0, Ceiling
 	} else if p.MaxInFlight > 0 && float64(c.inFlight) >= math.Ceil(float64(p.MaxInFlight)/c.setSize) {
-		chance, against = 0, InFlightCap
-	} else if p.Rate > 0 && g.remainingTokens(c, c.setSize, 0) >= u {
-		chance = 1
-	} else if p.Rate > 0 && g.now-c.tokensAt < time.Duration(maxTokenEstimateAgePeriods*float64(g.cfg.MeterPeriod)) {
-		others := max(0, c.meanUse-c.meanAdmitted) / g.cfg.MeterPeriod.Seconds() * max(1, surge)
-		doubt := tokenReserveDeviations * (1 - p.overuseAllowance()) * math.Sqrt(others*(g.now-c.tokensAt).Seconds())
-		if g.remainingTokens(c, 1, others) < u+doubt { // where overuse costs nothing, the chance decides alone
-			chance *= p.overuseAllowance()
+		probability, reason = 0, InFlightCap
+	} else if p.Rate > 0 && g.remainingTokens(c, c.setSize, 0) >= units {
+		probability = 1
+	} else if p.Rate > 0 &&
+		g.now-c.tokensAt < time.Duration(maxTokenEstimateAgePeriods*float64(g.cfg.MeterPeriod)) {
+		otherRate := max(0, c.meanUse-c.meanAdmitted) / g.cfg.MeterPeriod.Seconds() * max(1, surge)
+		reserve := tokenReserveDeviations * (1 - p.overuseAllowance()) *
+			math.Sqrt(otherRate*(g.now-c.tokensAt).Seconds())
+		// Where overuse costs nothing, the admission probability alone decides.
+		if g.remainingTokens(c, 1, otherRate) < units+reserve {
+			probability *= p.overuseAllowance()
 		}
 	}
 	s := &c.slots[c.newestSlot%historySlots]
-	s.offered += float32(u)
-	s.probabilitySum += float32(chance)
+	s.offered += float32(units)
+	s.probabilitySum += float32(probability)
 	s.probabilityCount++
-	if chance < 1 && g.rng.Float64() >= chance {
-		return against
+	if probability < 1 && g.rng.Float64() >= probability {
+		return reason
 	}
-	s.admitted += float32(u)
+	s.admitted += float32(units)
 	return None
 }
 
-// localAdmitProbability is the chance of a customer whom no meter ever shows. The offered rate is estimated from what is
-// asked here, as if it fell on all gateways of the set alike: it does not at any moment, but the busiest
-// change, so it is averaged over the time in which this gateway's part of the quota comes to smoothUnits.
-// Until that has come, the guess of a customer who was not met before weighs more. The request in hand does
-// not count against itself.
-func (g *Gateway) localAdmitProbability(c *customer, u float64) float64 {
-	n, part := &c.local, c.plan.Rate/c.setSize
-	if part <= 0 {
+// localAdmitProbability returns the admission probability of a customer without a meter. It estimates the
+// offered rate from the requests at this gateway, as if they were spread evenly over the gateway set. At any
+// moment they are not, but the busiest gateways change, so the rate is averaged over the time in which this
+// gateway's share of the quota comes to rateWindowUnits. Until then the assumption for a new customer
+// dominates. The current request does not count against itself.
+func (g *Gateway) localAdmitProbability(c *customer, units float64) float64 {
+	demand, quotaRate := &c.local, c.plan.Rate/c.setSize
+	if quotaRate <= 0 {
 		return c.admitProbability
 	}
-	passed := (g.now - n.updatedAt).Seconds()
-	kept := math.Exp(-passed * part / rateWindowUnits)
-	n.offered, n.quota, n.updatedAt = n.offered*kept, n.quota*kept+passed*part, g.now
-	offered := (initialUseRatio*localPriorUnits + n.offered) / (localPriorUnits + n.quota)
-	n.offered += u
-	return 1 / max(offered, minUseRatio)
+	elapsed := (g.now - demand.updatedAt).Seconds()
+	decay := math.Exp(-elapsed * quotaRate / rateWindowUnits)
+	demand.offered, demand.quota, demand.updatedAt =
+		demand.offered*decay, demand.quota*decay+elapsed*quotaRate, g.now
+	useRatio := (initialUseRatio*localPriorUnits + demand.offered) / (localPriorUnits + demand.quota)
+	demand.offered += units
+	return 1 / max(useRatio, minUseRatio)
 }
 
-// surgeFactor is how much more this gateway is asked than expected since the store was last shown, a witness of
-// what the late meter cannot show yet. surgeUnits keep chance from looking like one, and where many gateways
-// expect little of a customer each, more of them: there a single request is no surgeFactor. Among few gateways it
-// tells less, since traffic may have moved here from there. It covers any onset faster than the meter, and
-// harms a customer whose requests come in bursts at one of many gateways.
-func (g *Gateway) surgeFactor(c *customer, repeat bool) float64 {
+// surgeFactor returns the ratio of the demand at this gateway since the last meter period to the expected
+// demand. It reacts to any sudden rise before the delayed meter shows it.
+//
+// An allowance of surgeAllowanceUnits keeps random fluctuation from counting as a surge. Where many gateways
+// expect little of the customer each, the allowance is larger, so that a single request is no surge. Among
+// few gateways the ratio counts for less, since traffic may have moved here from another gateway. A known
+// weakness: a customer whose requests come in bursts at one of many gateways is admitted less.
+func (g *Gateway) surgeFactor(c *customer, clientRetry bool) float64 {
 	period, scale := max(g.cfg.MeterPeriod, g.slotLength), 1.0
-	if c.plan.Rate <= 0 { // readings are in caps: what a customer at its cap asks for in a period
-		scale = meanToPeakInFlightRatio * float64(c.plan.MaxInFlight) * period.Seconds() / g.classes[0].meanLatency
-	}
-	span := min(max(g.now-c.tokensAt, period), historySlots*g.slotLength)
-	asked := g.sumSlots(c, g.now-span, g.now+g.slotLength).offered
-	expected := max(c.meanOffered, scale*c.meanUse/c.meanAdmitProbability/c.setSize) * span.Seconds() / period.Seconds()
-	doubt := max(surgeAllowanceUnits, surgeAllowancePerGateway*c.setSize*c.plan.overuseAllowance())
-	if repeat {
-		asked += clientRetrySurgeUnits * doubt / surgeAllowanceUnits
-	}
-	return math.Pow((asked+doubt)/(expected+doubt), 1-1/c.setSize)
+	if c.plan.Rate <= 0 { // readings are relative to the cap: the demand in a period of a customer at its cap
+		scale = meanToPeakInFlightRatio * float64(c.plan.MaxInFlight) *
+			period.Seconds() / g.classes[0].meanLatency
+	}
+	window := min(max(g.now-c.tokensAt, period), historySlots*g.slotLength)
+	offered := g.sumSlots(c, g.now-window, g.now+g.slotLength).offered
+	expected := max(c.meanOffered, scale*c.meanUse/c.meanAdmitProbability/c.setSize) *
+		window.Seconds() / period.Seconds()
+	allowance := max(surgeAllowanceUnits, surgeAllowancePerGateway*c.setSize*c.plan.overuseAllowance())
+	if clientRetry {
+		offered += clientRetrySurgeUnits * allowance / surgeAllowanceUnits
+	}
+	return math.Pow((offered+allowance)/(expected+allowance), 1-1/c.setSize)
 }
 
-// remainingTokens is what is left of one of so many parts of the store shown, filled and drawn on since.
-func (g *Gateway) remainingTokens(c *customer, parts, others float64) float64 {
-	most, fill := c.plan.Burst/parts, (c.plan.Rate/parts-others)*g.slotLength.Seconds()
-	level, k := c.tokens/parts, g.slotNumber(c.tokensAt)
+// remainingTokens returns the tokens left in one of several equal shares of the quota's bucket: those at the
+// last metered period, plus the refill and minus what this gateway has admitted since then. The refill is
+// reduced by otherRate, the rate at which other gateways draw.
+func (g *Gateway) remainingTokens(c *customer, shares, otherRate float64) float64 {
+	size, refill := c.plan.Burst/shares, (c.plan.Rate/shares-otherRate)*g.slotLength.Seconds()
+	tokens, k := c.tokens/shares, g.slotNumber(c.tokensAt)
 	if k <= c.newestSlot-historySlots {
-		level, k = most, c.newestSlot-historySlots+1
+		tokens, k = size, c.newestSlot-historySlots+1
 	}
 	for ; k < c.newestSlot; k++ {
-		level = min(level-float64(c.slots[k%historySlots].admitted)+fill, most)
+		tokens = min(tokens-float64(c.slots[k%historySlots].admitted)+refill, size)
 	}
-	return level - float64(c.slots[k%historySlots].admitted)
+	return tokens - float64(c.slots[k%historySlots].admitted)
 }
 
-// ceilingAllows tells whether this gateway's part of the ceiling's store holds the units. The parts of a set
-// are even, in rate and in what they hold. So they add up to no more than the store at any time, whatever
-// the meter says and wherever the traffic goes, and also while gateways end and start again: one that
-// starts has an empty part, for the life before may have drawn it all.
-func (g *Gateway) ceilingAllows(c *customer, u float64) bool {
+// ceilingAllows tells whether this gateway's share of the ceiling's token bucket holds the units. The
+// gateways of the set have equal shares, in rate and in size. So together they never admit more than the
+// bucket holds, whatever the meter reports, wherever the traffic goes, and also if gateways restart: a
+// gateway starts with an empty share, since its previous process may have drawn everything.
+func (g *Gateway) ceilingAllows(c *customer, units float64) bool {
 	p := c.plan
 	if p.CeilingRate <= 0 {
 		return true
 	}
-	fill := (g.now - c.ceilingAt).Seconds() * p.CeilingRate
-	c.ceilingTokens, c.ceilingAt = min(c.ceilingTokens+fill/c.setSize, p.CeilingBurst/c.setSize), g.now
-	return c.ceilingTokens >= u
+	refill := (g.now - c.ceilingAt).Seconds() * p.CeilingRate
+	c.ceilingTokens, c.ceilingAt = min(c.ceilingTokens+refill/c.setSize, p.CeilingBurst/c.setSize), g.now
+	return c.ceilingTokens >= units
 }
--- a/choice/choice.go
+++ b/choice/choice.go
@@ -1,9 +1,9 @@
 package choice
 
-// The gateway's state. Its decisions stand in files of their own, in the order in which a request meets
-// them: customers.go, admission.go, meter.go, pressure.go, selection.go, health.go and attempts.go; who is in
-// the fleet stands in membership.go, all tuned values in settings.go. The interface, its types, events and
-// actions, stands in choice/api.go. The mechanism and its source are told in docs/design.md.
+// The state of a gateway. The decisions are in files of their own, in the order in which a request meets
+// them: customers.go, admission.go, meter.go, pressure.go (the concurrency limit), selection.go, health.go
+// and attempts.go. The sets of backends are in membership.go, the parameters in settings.go, and the public
+// types and interfaces in api.go. docs/design.md describes the algorithms and their sources.
 
 import (
 	"container/list"
@@ -13,112 +13,117 @@
 	"time"
 )
 
-// Gateway decides for one gateway. See the package comment for its contract.
+// Gateway makes the decisions of one gateway. The package comment states its contract.
 type Gateway struct {
-	cfg               Config
-	actions           Actions
-	rng               *rand.Rand
-	now               time.Duration
-	startedAt         time.Duration
-	slotLength        time.Duration // length of a slot of own history
-	customers         map[customerKey]*customer
-	idleOrder         []list.List   // the customers of each plan, the longest idle first
-	ceilingFillStart  time.Duration // when one whose part of a ceiling was not full was last forgotten; or the start
+	cfg        Config
+	actions    Actions
+	rng        *rand.Rand
+	now        time.Duration
+	startedAt  time.Duration
+	slotLength time.Duration // length of a slot of the customers' history
+	customers  map[customerKey]*customer
+	idleOrder  []list.List // for each plan, its customers, least recently used first
+	// ceilingFillStart is the time from which the ceiling's bucket of a new customer has filled: the start of
+	// the gateway, or the last eviction of a customer whose bucket was not full.
+	ceilingFillStart  time.Duration
 	requests          map[uint32]*request
 	backends          map[uint32]*backend
-	ready             backendSet      // the ready ones
-	cold              backendSet      // those of the fleet that are cold, or were when last looked at
-	reusable          backendSet      // those of the fleet with an own connection that can be used again
-	reusableQueue     []reusableEntry // when those kept were heard of, the oldest first
-	readyWeight       float64         // of the fleet, in all
-	readyInFlight     int             // attempts out at the fleet
-	coldInFlight      int             // and at its cold ones, when last looked at
-	listNumber        uint64          // number of the last list
-	ejections         []ejection      // the next to end first
-	ejectedCount      int             // of the fleet, now
+	ready             backendSet      // backends in state Ready
+	cold              backendSet      // ready backends that were still warming up at the last updateCold
+	reusable          backendSet      // ready backends with a reusable connection of this gateway
+	reusableQueue     []reusableEntry // entries of reusable by the time of the last outcome, oldest first
+	readyWeight       float64         // sum of the capacity weights of the ready backends
+	readyInFlight     int             // attempts in flight at ready backends
+	coldInFlight      int             // attempts in flight at cold backends, at the last updateCold
+	listNumber        uint64          // number of the last list of backends
+	ejections         []ejection      // ordered by their end
+	ejectedCount      int             // ready backends that are ejected
 	classes           []classStats
-	retryAfterHint    time.Duration   // given with a refusal
-	stopping          bool            // the process ends
-	answerDeadline    time.Duration   // and by then each request has its final answer
+	retryAfterHint    time.Duration   // advice given with a refusal
+	stopping          bool            // Stop was called
+	answerDeadline    time.Duration   // if stopping: each request has its final answer by this time
 	retryBudget       float64         // further attempts that may be made
-	zoneFailureRates  map[int]float64 // share of failures by zone: a lost zone shows sooner than each of its backends
+	zoneFailureRates  map[int]float64 // detects the loss of a zone sooner than the rates of its backends do
 	nextLimitUpdate   time.Duration
-	inFlightIndex     int           // place of "inflight" in a load report, or -1
+	inFlightIndex     int           // index of "inflight" in a load report, or -1
 	probeTokens       float64       // probes earned
-	lastProbed        int           // place in the fleet of the last backend probed
-	meanOtherInFlight float64       // mean of what reports show
-	maxAim            time.Duration // the longest aim
-	inFlight          int           // attempts out
-	limitFactor       float64       // part of the window of attempts out that is open
-	limitPassRate     float64       // share of requests that no pressure refused
+	lastProbed        int           // index in ready.members of the last backend probed
+	meanOtherInFlight float64       // EWMA of backend.otherInFlight over all reports
+	maxAim            time.Duration // the longest aim of all classes
+	inFlight          int           // attempts in flight
+	limitFactor       float64       // concurrency limit as a fraction of the full limit
+	limitPassRate     float64       // share of requests that the concurrency limit let through
 	meter             meterClock
-	latencyRatioSum   float64 // latencies over aims since the last step
-	latencyRatioCount float64
-	latencyRatio      float64 // their mean over calmAims, smoothed
+
+	latencyRatioSum   float64 // sum of latencies relative to their target since the last limit update
+	latencyRatioCount float64 // number of the latencies in that sum
+	latencyRatio      float64 // their EWMA; above 1 the concurrency limit shrinks
 }
 
-// meterClock tells when the shown period changes, and how long before that it had ended.
+// meterClock estimates when the meter goes over to the reading of the next period, and how long that period
+// had then been over.
 type meterClock struct {
-	earliest, latest time.Duration // a change happened between these times, and at whole periods from them
-	known            bool
+	earliest, latest time.Duration // a change fell between these times, and others whole periods from it
+	known            bool          // a change has been observed
 	readings         int
-	lagSlots         int // slots from the end of a period to its first showing
+	lagSlots         int // slots from the end of a period to its first reading
 	lagErrors        [maxLagPeriods * slotsPerPeriod]float64
 }
 
 type classStats struct {
-	meanLatency float64 // mean latency of good answers, seconds
+	meanLatency float64 // mean latency of successful answers, in seconds
 }
 
-// customerKey is what a record is kept for.
+// customerKey identifies the record of a customer under one plan.
 type customerKey struct {
 	customer uint64
 	plan     int
 }
 
+// customer is the record of a customer. Its means are over meter periods.
 type customer struct {
 	key                  customerKey
 	plan                 *Plan
-	idleElement          *list.Element // among the customers of its plan
-	setSize              float64
-	lastRequest          time.Duration // last request
-	admitProbability     float64       // a = 1 - b, held between updates
+	idleElement          *list.Element // element of Gateway.idleOrder
+	setSize              float64       // gateways in the customer's gateway set
+	lastRequest          time.Duration
+	admitProbability     float64 // a = 1 - b, b being the share to reject; held between updates
 	hasReading           bool
-	reading              float64       // last reading
-	readingAt            time.Duration // when it came
-	lastPeriod           int64         // number of the last period counted
-	meanUse              float64       // mean use of a period by all gateways, units (open plans: peak over the cap)
-	meanAdmitProbability float64       // mean chance applied in those periods
-	meanAdmitted         float64       // mean units passed here in those periods
-	meanOffered          float64       // mean units asked here in those periods
-	tokens               float64       // units in the store at the end of the last counted period
+	reading              float64 // last reading
+	readingAt            time.Duration
+	lastPeriod           int64   // number of the last period counted
+	meanUse              float64 // use by all gateways in units (plans without a rate: peak over the cap)
+	meanAdmitProbability float64 // admission probability applied
+	meanAdmitted         float64 // units admitted by this gateway
+	meanOffered          float64 // units requested at this gateway
+	tokens               float64 // units in the quota's token bucket at the end of the last counted period
 	tokensAt             time.Duration
 	local                localDemand
-	inFlight             int     // own attempts out
-	ceilingTokens        float64 // this gateway's part of the ceiling's store
+	inFlight             int     // attempts of this gateway in flight
+	ceilingTokens        float64 // this gateway's share of the ceiling's token bucket
 	ceilingAt            time.Duration
 	newestSlot           int64 // number of the newest slot
 	slots                [historySlots]slotUsage
 }
 
-// localDemand is what a gateway goes by where there is no meter.
+// localDemand estimates a customer's demand where there is no meter. Both counts decay exponentially.
 type localDemand struct {
-	offered   float64 // asked here, those of long ago less
-	quota     float64 // and this gateway's even part of the quota in the same time
+	offered   float64 // units requested at this gateway
+	quota     float64 // this gateway's even share of the quota in the same time
 	updatedAt time.Duration
 }
 
-// slotUsage is what this gateway did with a customer's requests in one slot.
-// A customer has many, so they are kept small.
+// slotUsage is the use of one customer at this gateway in one slot. Each customer has historySlots of them,
+// so they are small.
 type slotUsage struct {
 	offered, admitted                float32 // units
-	probabilitySum, probabilityCount float32 // sum of the chance held and of those that requests met; how many they are
+	probabilitySum, probabilityCount float32 // of the probability at the slot's start and at its requests
 }
 
-// usageTotals is what several slots come to.
+// usageTotals is the sum of several slots.
 type usageTotals struct {
 	offered, admitted float64 // units
-	meanProbability   float64 // mean
+	meanProbability   float64
 }
 
 type request struct {
@@ -128,33 +133,33 @@
 	attempts      []attempt
 	inFlight      int
 	answered      bool
-	limitedByStop bool // its client would wait beyond the end of the process
+	limitedByStop bool // the stop of the process has shortened the deadline
 }
 
 type attempt struct {
 	backend          *backend
 	sentAt           time.Duration
 	ended, cancelled bool
-	neverRan         bool // proved never to have run
-	neverSent        bool // and never to have come to a backend
+	neverRan         bool // the backend certainly did not execute it
+	neverSent        bool // it certainly did not reach a backend
 }
 
 type backend struct {
 	Backend
-	inFlight        int
-	otherInFlight   float64           // requests held for other gateways, as last reported
-	reportedAt      time.Duration     // and when
-	relativeLatency float64           // mean latency over the class's mean
-	failureRate     float64           // share of failures
+	inFlight        int           // attempts of this gateway
+	otherInFlight   float64       // requests of other gateways, by the last report
+	reportedAt      time.Duration // time of that report
+	relativeLatency float64       // EWMA of latencies over the class's mean latency
+	failureRate     float64
 	waitingSince    time.Duration     // first send since the last answer
-	lastOutcome     time.Duration     // last answer or time-out
-	reusableConns   int               // own connections that carried an answer and are free again
-	ejectedUntil    time.Duration     // ejected until
-	positions       [setKindCount]int // in each set, from 1; 0: not in it
-	listNumber      uint64            // the last list that named it
+	lastOutcome     time.Duration     // last answer, time-out or connection failure
+	reusableConns   int               // free connections of this gateway that have carried an answer
+	ejectedUntil    time.Duration     // 0: not ejected
+	positions       [setKindCount]int // 1 + index in each set; 0: not in it
+	listNumber      uint64            // number of the last list that contained it
 }
 
-// New makes a gateway. Its error names the field of cfg that cannot be served.
+// New returns a Gateway. Its error names the field of cfg with an invalid value.
 func New(cfg Config, seed uint64, now time.Duration, act Actions) (*Gateway, error) {
 	if act == nil {
 		return nil, fmt.Errorf("choice: Actions is nil")
@@ -163,14 +168,19 @@
 		return nil, err
 	}
 	g := &Gateway{
-		cfg: cfg, actions: act, retryAfterHint: cfg.RetryAfterHint(), rng: rand.New(rand.NewPCG(seed, uint64(cfg.Self))),
+		cfg: cfg, actions: act, retryAfterHint: cfg.RetryAfterHint(),
+		rng: rand.New(rand.NewPCG(seed, uint64(cfg.Self))),
 		now: now, startedAt: now, ceilingFillStart: now,
 		slotLength: max(cfg.MeterPeriod, 100*time.Millisecond) / slotsPerPeriod,
-		customers:  map[customerKey]*customer{}, requests: map[uint32]*request{}, backends: map[uint32]*backend{},
+		customers:  map[customerKey]*customer{},
+		requests:   map[uint32]*request{}, backends: map[uint32]*backend{},
 		zoneFailureRates: map[int]float64{},
-		ready:            backendSet{kind: readySet}, cold: backendSet{kind: coldSet}, reusable: backendSet{kind: reusableSet},
-		idleOrder: make([]list.List, len(cfg.Plans)),
-		classes:   make([]classStats, len(cfg.Classes)), retryBudget: retryBudgetCap / 2, limitFactor: 1, limitPassRate: 1,
+		ready:            backendSet{kind: readySet},
+		cold:             backendSet{kind: coldSet},
+		reusable:         backendSet{kind: reusableSet},
+		idleOrder:        make([]list.List, len(cfg.Plans)),
+		classes:          make([]classStats, len(cfg.Classes)),
+		retryBudget:      retryBudgetCap / 2, limitFactor: 1, limitPassRate: 1,
 		inFlightIndex: slices.Index(cfg.ReportFields, "inflight"),
 		meter:         meterClock{lagSlots: initialLagPeriods * slotsPerPeriod},
 	}
@@ -181,10 +191,11 @@
 	return g, nil
 }
 
-// partialViewFactor is 0 among few gateways and nears 1 with their number: how far each sees only a little of the whole.
+// partialViewFactor tells how small a part of all traffic each of the gateways sees: 0 up to
+// smallTierGateways, and towards 1 as their number grows.
 func partialViewFactor(gateways float64) float64 { return max(0, 1-smallTierGateways/gateways) }
 
-// overuseAllowance is how far overuse costs nothing under a plan, from 0 to 1.
+// overuseAllowance tells how far a plan permits use beyond the quota at no cost, from 0 to 1.
 func (p *Plan) overuseAllowance() float64 { return 1 - min(1, max(0, p.OveruseCost)) }
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/choice/customers.go
+++ b/choice/customers.go
@@ -1,20 +1,21 @@
 package choice
 
-// Customers: the records that are kept, and which are forgotten.
+// The records of customers: creation, lookup and eviction.
 
 import "time"
 
-// findOrAddCustomer finds the record of a findOrAddCustomer under the plan that the request names. A request that names another
-// plan gets a record of its own: it must not clear what is known of the findOrAddCustomer, his ceiling above all.
+// findOrAddCustomer returns the customer's record under the plan that the request names. A request that
+// names another plan gets a separate record: it must not reset the existing one, above all not the ceiling.
 func (g *Gateway) findOrAddCustomer(in Request) *customer {
 	key := customerKey{in.Customer, in.Plan}
 	c := g.customers[key]
 	if c == nil {
 		p := &g.cfg.Plans[in.Plan]
 		g.evictForNewCustomer()
-		// The part of the ceiling is empty at the gateway's start, for the life before may have drawn it all,
-		// and fills from then on, whether the customer is known or not.
-		c = &customer{key: key, plan: p, admitProbability: 1 / initialUseRatio, meanAdmitProbability: 1, tokens: p.Burst, tokensAt: g.now,
+		// The ceiling's bucket is empty at the gateway's start, since a previous process may have drawn
+		// everything. It fills from then on, whether or not there is a record of the customer.
+		c = &customer{key: key, plan: p, admitProbability: 1 / initialUseRatio, meanAdmitProbability: 1,
+			tokens: p.Burst, tokensAt: g.now,
 			ceilingAt: g.ceilingFillStart, local: localDemand{updatedAt: g.now},
 			meanUse: initialUseRatio * p.Rate * g.cfg.MeterPeriod.Seconds()}
 		if p.Rate <= 0 {
@@ -22,7 +23,7 @@
 		}
 		c.newestSlot = g.slotNumber(g.now)
 		for i := range c.slots {
-			// Before it was known, only pressure refused.
+			// Before the record existed, only the concurrency limit rejected requests of this customer.
 			c.slots[i] = slotUsage{probabilitySum: float32(g.limitPassRate), probabilityCount: 1}
 		}
 		g.customers[key] = c
@@ -34,15 +35,15 @@
 	return c
 }
 
-// evictIdleCustomers forgets idle customers, which would be met as new: a ceiling's part must be full again. It looks at a
-// few that have been idle for longest.
+// evictIdleCustomers evicts idle customers whose ceiling's bucket is full again, so that a new record would
+// equal theirs. It examines only a few of the longest idle ones in each pass.
 func (g *Gateway) evictIdleCustomers() {
-	span := time.Duration(customerIdlePeriods * float64(max(g.cfg.MeterPeriod, 100*time.Millisecond)))
+	minIdle := time.Duration(customerIdlePeriods * float64(max(g.cfg.MeterPeriod, 100*time.Millisecond)))
 	for i := range g.idleOrder {
 		for range min(maxEvictionScan, g.idleOrder[i].Len()) {
 			c := g.idleOrder[i].Front().Value.(*customer)
 			idle := g.now - c.lastRequest
-			if idle <= span || idle.Seconds()*c.plan.CeilingRate < c.plan.CeilingBurst {
+			if idle <= minIdle || idle.Seconds()*c.plan.CeilingRate < c.plan.CeilingBurst {
 				break
 			}
 			if c.inFlight > 0 {
@@ -54,18 +55,18 @@
 	}
 }
 
-// evictCustomer forgets a customer.
+// evictCustomer drops the record of a customer.
 func (g *Gateway) evictCustomer(c *customer) {
 	g.idleOrder[c.key.plan].Remove(c.idleElement)
 	delete(g.customers, c.key)
 }
 
-// evictForNewCustomer forgets the longest idle customers where as many are known as may be: whoever makes names up must
-// not fill the memory. If the part of a ceiling of one was not full, all whom the gateway meets from now on
-// begin with an empty one, for he may be among them.
+// evictForNewCustomer evicts the longest idle customers if Config.MaxCustomers is reached, so that requests
+// with invented customer ids cannot fill the memory. If the ceiling's bucket of an evicted customer was not
+// full, every record created from then on starts with an empty bucket, since that customer may come back.
 func (g *Gateway) evictForNewCustomer() {
-	most := g.cfg.MaxCustomers
-	for tries := 0; most > 0 && len(g.customers) >= most && tries < maxEvictionScan; tries++ {
+	limit := g.cfg.MaxCustomers
+	for tries := 0; limit > 0 && len(g.customers) >= limit && tries < maxEvictionScan; tries++ {
 		if c := g.longestIdleCustomer(); c != nil {
 			if c.plan.CeilingRate > 0 && !g.ceilingAllows(c, c.plan.CeilingBurst/c.setSize) {
 				g.ceilingFillStart = g.now
@@ -75,12 +76,13 @@
 	}
 }
 
-// longestIdleCustomer returns the one of the longest idle customers of each plan that has nothing out, or nil.
+// longestIdleCustomer compares the longest idle customer of each plan and returns the longest idle of them
+// that has no attempt in flight, or nil.
 func (g *Gateway) longestIdleCustomer() (longest *customer) {
 	for i := range g.idleOrder {
 		if front := g.idleOrder[i].Front(); front != nil {
 			if c := front.Value.(*customer); c.inFlight > 0 {
-				g.idleOrder[i].MoveToBack(front) // the next one may do
+				g.idleOrder[i].MoveToBack(front) // the next call examines another customer
 			} else if longest == nil || c.lastRequest < longest.lastRequest {
 				longest = c
 			}
--- a/choice/health.go
+++ b/choice/health.go
@@ -1,31 +1,35 @@
 package choice
 
-// Health and cold start of backends.
+// Health and warm-up of backends.
 
 import "time"
 
-// unresponsive tells of a backend that takes attempts and answers none.
+// unresponsive tells whether a backend has attempts in flight and has not answered for some time.
 func (g *Gateway) unresponsive(b *backend) bool {
 	return b.inFlight > 0 && (g.now-b.waitingSince).Seconds() > unresponsiveAims*g.maxAim.Seconds()
 }
 
-// capacityFraction is the least part of its capacity that a backend can have now.
+// capacityFraction returns the lower bound of a backend's present capacity, as a fraction of its full one. It
+// rises linearly during the warm-up.
 func (g *Gateway) capacityFraction(b *backend) float64 {
 	age := g.now - b.Started
 	if !b.StartKnown || g.cfg.WarmUpPeriod <= 0 || age >= g.cfg.WarmUpPeriod {
 		return 1
 	}
-	from := max(g.cfg.InitialCapacity, 0.02)
-	return from + (1-from)*max(0, age.Seconds())/g.cfg.WarmUpPeriod.Seconds()
+	initial := max(g.cfg.InitialCapacity, 0.02)
+	return initial + (1-initial)*max(0, age.Seconds())/g.cfg.WarmUpPeriod.Seconds()
 }
 
-// pickCold returns the cold backend whose turn it is, or nil for a warm one's, and whether there are turns.
-// It is left to chance, by least capacities: a cold backend falls under the sum of what all gateways send,
-// and each of them may find it the cheapest at the same moment, of a slow fleet above all. So that sum is its
-// part of all requests, however many gateways there are: no more than its capacity, of which the settings
-// allow a multiple, as long as the warm ones keep up with theirs. With no warm one there is nothing to
-// measure by.
-func (g *Gateway) pickCold() (one *backend, turns bool) {
+// pickCold decides whether an attempt goes to a cold backend: it returns that backend, or nil for a warm one,
+// and whether the attempt must not go to any other cold backend.
+//
+// A cold backend is overloaded by the sum of what all gateways send, and each of them may find it the
+// cheapest at the same moment, above all if the other backends are slow. So each cold backend is drawn at
+// random, in proportion to the lower bounds of the capacities. However many gateways there are, their sum is
+// then the backend's share of all requests, which is within its capacity as long as the warm backends keep up
+// with theirs; the configuration permits a multiple of that capacity. If all backends are cold, there is no
+// warm one to compare with, and the share is not limited.
+func (g *Gateway) pickCold() (picked *backend, limitCold bool) {
 	g.updateCold()
 	if n := g.cold.size(); n == 0 || n == g.ready.size() || g.cfg.Gateways <= smallTierGateways {
 		return nil, false
@@ -34,44 +38,47 @@
 	for _, b := range g.cold.members {
 		sum -= g.capacityWeight(b) * (1 - g.capacityFraction(b))
 	}
-	at := g.rng.Float64() * sum
+	target := g.rng.Float64() * sum
 	for _, b := range g.cold.members {
-		if at -= g.capacityWeight(b) * g.capacityFraction(b); at < 0 {
+		if target -= g.capacityWeight(b) * g.capacityFraction(b); target < 0 {
 			return b, true
 		}
 	}
 	return nil, true
 }
 
-// withinColdLimit keeps the work out at a cold backend in step with what a warm one holds.
+// withinColdLimit tells whether b may have another attempt in flight: a cold backend may have the mean of the
+// warm ones times its capacity fraction, and always one.
 func (g *Gateway) withinColdLimit(b *backend) bool {
 	if !g.cold.contains(b) || b.inFlight == 0 {
 		return true
 	}
-	out, warm := g.readyInFlight-g.coldInFlight, g.ready.size()-g.cold.size()
-	return warm > 0 && float64(b.inFlight+1) <= g.capacityFraction(b)*float64(out)/float64(warm)
+	warmInFlight, warm := g.readyInFlight-g.coldInFlight, g.ready.size()-g.cold.size()
+	return warm > 0 && float64(b.inFlight+1) <= g.capacityFraction(b)*float64(warmInFlight)/float64(warm)
 }
 
-// recordResult ejects a backend that fails far more than the fleet does.
+// recordResult updates the failure rates of a backend and of its zone, and ejects the backend if its rate is
+// too high. The period of an ejection is randomized, so that backends ejected together do not return together.
 func (g *Gateway) recordResult(b *backend, failed bool, weight float64) {
-	v := 0.0
+	sample := 0.0
 	if failed {
-		v = 1
+		sample = 1
 	}
-	b.failureRate += max(failureRateWeight, weight) * (v - b.failureRate)
-	g.zoneFailureRates[b.Zone] += failureRateWeight * (v - g.zoneFailureRates[b.Zone])
+	b.failureRate += max(failureRateWeight, weight) * (sample - b.failureRate)
+	g.zoneFailureRates[b.Zone] += failureRateWeight * (sample - g.zoneFailureRates[b.Zone])
 	if !failed {
 		return
 	}
 	g.expireEjections()
-	if g.now >= b.ejectedUntil && b.failureRate > ejectionThreshold && float64(g.ejectedCount+1) <= maxEjectedShare*float64(g.ready.size()) {
-		span := ejectionPeriodAims * g.maxAim.Seconds()
-		g.eject(b, g.now+seconds(span*(0.8+0.4*g.rng.Float64())))
+	if g.now >= b.ejectedUntil && b.failureRate > ejectionThreshold &&
+		float64(g.ejectedCount+1) <= maxEjectedShare*float64(g.ready.size()) {
+		period := ejectionPeriodAims * g.maxAim.Seconds()
+		g.eject(b, g.now+seconds(period*(0.8+0.4*g.rng.Float64())))
 		b.failureRate = 0
 	}
 }
 
-// ProbeResult takes the answer to a probe.
+// ProbeResult handles the result of a probe.
 func (g *Gateway) ProbeResult(now time.Duration, p ProbeResult) {
 	g.advance(now)
 	b := g.backends[p.Backend]
--- a/choice/meter.go
+++ b/choice/meter.go
@@ -1,18 +1,18 @@
 package choice
 
-// The meter: what late readings, and the gateway's own history, tell of a customer's use over all gateways.
+// The meter: estimates a customer's use over all gateways from delayed readings and this gateway's history.
 
 import (
 	"math"
 	"time"
 )
 
-// slotNumber numbers the slots of own history; all that is asked for are above 0.
+// slotNumber returns the number of the history slot at a time. It is positive for all times in use.
 func (g *Gateway) slotNumber(t time.Duration) int64 {
 	return int64((t - g.startedAt + 1<<20*g.slotLength) / g.slotLength)
 }
 
-// advanceSlots opens the slots up to now.
+// advanceSlots starts new slots up to the current time.
 func (g *Gateway) advanceSlots(c *customer) {
 	n := g.slotNumber(g.now)
 	if n-c.newestSlot > historySlots {
@@ -20,15 +20,16 @@
 	}
 	for c.newestSlot < n {
 		c.newestSlot++
-		c.slots[c.newestSlot%historySlots] = slotUsage{probabilitySum: float32(g.limitPassRate * min(1, c.admitProbability)), probabilityCount: 1}
+		c.slots[c.newestSlot%historySlots] = slotUsage{
+			probabilitySum: float32(g.limitPassRate * min(1, c.admitProbability)), probabilityCount: 1}
 	}
 }
 
-// sumSlots adds up own history between two times, by whole slots.
+// sumSlots adds up the history between two times, in whole slots.
 func (g *Gateway) sumSlots(c *customer, from, to time.Duration) (sum usageTotals) {
-	lo := min(max(g.slotNumber(from), c.newestSlot-historySlots+1), c.newestSlot)
+	first := min(max(g.slotNumber(from), c.newestSlot-historySlots+1), c.newestSlot)
 	n := 0.0
-	for k := lo; k < min(g.slotNumber(to), c.newestSlot+1); k++ {
+	for k := first; k < min(g.slotNumber(to), c.newestSlot+1); k++ {
 		s := &c.slots[k%historySlots]
 		sum.offered += float64(s.offered)
 		sum.admitted += float64(s.admitted)
@@ -38,13 +39,13 @@
 	if n > 0 {
 		sum.meanProbability /= n
 	} else {
-		s := &c.slots[lo%historySlots]
+		s := &c.slots[first%historySlots]
 		sum.meanProbability = float64(s.probabilitySum / s.probabilityCount)
 	}
 	return
 }
 
-// observeChange narrows down when the shown period changes, from two answers with different readings.
+// observeChange narrows the estimate of when readings change. The reading changed between the two times.
 func (m *meterClock) observeChange(from, to, period time.Duration) {
 	if !m.known {
 		m.known, m.earliest, m.latest = true, from, to
@@ -52,27 +53,28 @@
 	}
 	shift := ((from+to)/2 - (m.earliest+m.latest)/2 + period/2)
 	shift -= ((shift % period) + period) % period
-	lo, hi := max(m.earliest+shift, from), min(m.latest+shift, to)
-	if lo >= hi {
-		lo, hi = from, to
+	earliest, latest := max(m.earliest+shift, from), min(m.latest+shift, to)
+	if earliest >= latest {
+		earliest, latest = from, to
 	}
-	m.earliest, m.latest = lo, hi
+	m.earliest, m.latest = earliest, latest
 }
 
-// learnLag learns the lag: the right one makes own use learnLag best into the readings.
-func (g *Gateway) learnLag(c *customer, use float64, shown time.Duration) {
+// learnLag estimates the lag of readings: the one for which this gateway's own use fits the readings best.
+func (g *Gateway) learnLag(c *customer, use float64, shownAt time.Duration) {
 	m := &g.meter
 	m.readings++
-	w := 1 / float64(min(m.readings, lagWindowReadings))
-	top, best := g.slotNumber(shown), 0
-	for j := range m.lagErrors {
+	weight := 1 / float64(min(m.readings, lagWindowReadings))
+	shownSlot, best := g.slotNumber(shownAt), 0
+	for lag := range m.lagErrors {
 		own := 0.0
-		for k := max(top-int64(j)-slotsPerPeriod, c.newestSlot-historySlots+1); k < min(top-int64(j), c.newestSlot+1); k++ {
+		for k := max(shownSlot-int64(lag)-slotsPerPeriod,
+			c.newestSlot-historySlots+1); k < min(shownSlot-int64(lag), c.newestSlot+1); k++ {
 			own += float64(c.slots[k%historySlots].admitted)
 		}
-		m.lagErrors[j] += w * ((use-own)*(use-own)/(use+1) - m.lagErrors[j])
-		if m.lagErrors[j] < m.lagErrors[best] {
-			best = j
+		m.lagErrors[lag] += weight * ((use-own)*(use-own)/(use+1) - m.lagErrors[lag])
+		if m.lagErrors[lag] < m.lagErrors[best] {
+			best = lag
 		}
 	}
 	if m.readings > lagWindowReadings/4 {
@@ -80,68 +82,71 @@
 	}
 }
 
-// applyReading takes a reading that came with an answer. Answers repeat a period's reading; the clock of the meter
-// tells which period it is, and each counts once.
-func (g *Gateway) applyReading(c *customer, used float64) {
+// applyReading updates the customer's record with a reading that came with an answer. All answers of a period
+// repeat its reading; the meter clock tells which period a reading belongs to, and each period counts once.
+func (g *Gateway) applyReading(c *customer, reading float64) {
 	period := g.cfg.MeterPeriod
-	if period <= 0 || !(used >= 0) || math.IsInf(used, 1) {
+	if period <= 0 || !(reading >= 0) || math.IsInf(reading, 1) {
 		return
 	}
-	if c.hasReading && used != c.reading && g.now-c.readingAt < period {
+	if c.hasReading && reading != c.reading && g.now-c.readingAt < period {
 		g.meter.observeChange(c.readingAt, g.now, period)
 	}
-	shown := g.now
+	shownAt := g.now
 	if g.meter.known {
-		shown = (g.meter.earliest + g.meter.latest) / 2
+		shownAt = (g.meter.earliest + g.meter.latest) / 2
 	}
-	number := int64(math.Floor(float64(g.now-shown) / float64(period)))
-	shown += time.Duration(number) * period
-	number = int64(math.Round(float64(shown) / float64(period)))
-	c.reading, c.readingAt = used, g.now
+	number := int64(math.Floor(float64(g.now-shownAt) / float64(period)))
+	shownAt += time.Duration(number) * period
+	number = int64(math.Round(float64(shownAt) / float64(period)))
+	c.reading, c.readingAt = reading, g.now
 	if c.hasReading && number <= c.lastPeriod {
 		return
 	}
 	g.advanceSlots(c)
 	p := c.plan
-	quota, tau := 1.0, inFlightWindowPeriods
+	quota, windowPeriods := 1.0, inFlightWindowPeriods
 	if p.Rate > 0 {
 		quota = p.Rate * period.Seconds()
-		tau = max(minRateWindowPeriods, rateWindowUnits/quota)
+		windowPeriods = max(minRateWindowPeriods, rateWindowUnits/quota)
 	}
-	use := used * quota
+	use := reading * quota
 	if p.Rate > 0 && g.meter.known && c.hasReading {
-		g.learnLag(c, use, shown)
+		g.learnLag(c, use, shownAt)
 	}
-	end := shown - time.Duration(g.meter.lagSlots)*g.slotLength
-	gap, w, held := int64(1), 1.0, 0.0
+	end := shownAt - time.Duration(g.meter.lagSlots)*g.slotLength
+	gap, weight, overuse := int64(1), 1.0, 0.0
 	if p.Rate > 0 {
-		w = quota / (quota + meterPriorUnits)
+		weight = quota / (quota + meterPriorUnits)
 	}
 	if p.Rate > 0 && !c.hasReading {
-		// The other gateways of its set have heard this customer sooner and hold his use near the quota: a
-		// first reading near or beyond it tells of one who asks for more, and whose store is spent.
-		held = partialViewFactor(c.setSize) * min(1, max(0, (used-initialOveruseFloor)/(1-initialOveruseFloor)))
-		c.tokens = p.Burst * (1 - initialDrawnShare*held)
+		// Other gateways of the set have had readings of this customer earlier and hold its use near the
+		// quota. A first reading near or above the quota thus indicates that the customer asks for more, and
+		// that its token bucket is drawn.
+		overuse = partialViewFactor(c.setSize) *
+			min(1, max(0, (reading-initialOveruseFloor)/(1-initialOveruseFloor)))
+		c.tokens = p.Burst * (1 - initialDrawnShare*overuse)
 	}
 	if c.hasReading {
 		gap = min(number-c.lastPeriod, historySlots/slotsPerPeriod)
-		w = 1 - math.Exp(-float64(gap)/tau)
+		weight = 1 - math.Exp(-float64(gap)/windowPeriods)
 	}
-	for k := gap - 1; k > 0; k-- { // periods whose readings were never heard
+	for k := gap - 1; k > 0; k-- { // periods of which no reading was received
 		own := g.sumSlots(c, end-time.Duration(k+1)*period, end-time.Duration(k)*period).admitted
 		c.addTokens(quota - max(own, c.meanUse))
 	}
 	c.addTokens(quota - use)
 	c.tokensAt = end
 	sum := g.sumSlots(c, end-period, end)
-	c.meanUse += w * (use - c.meanUse)
-	c.meanAdmitted += w * (sum.admitted - c.meanAdmitted)
-	c.meanOffered += w * (sum.offered - c.meanOffered)
-	c.meanAdmitProbability += w * (max(sum.meanProbability, minAdmitProbability) - c.meanAdmitProbability)
-	c.meanAdmitProbability *= 1 - initialRejectedShare*held
+	c.meanUse += weight * (use - c.meanUse)
+	c.meanAdmitted += weight * (sum.admitted - c.meanAdmitted)
+	c.meanOffered += weight * (sum.offered - c.meanOffered)
+	c.meanAdmitProbability += weight *
+		(max(sum.meanProbability, minAdmitProbability) - c.meanAdmitProbability)
+	c.meanAdmitProbability *= 1 - initialRejectedShare*overuse
 	c.admitProbability = c.meanAdmitProbability * quota / max(c.meanUse, minUseRatio*quota)
 	c.hasReading, c.lastPeriod = true, number
 }
 
-// addTokens moves the store by a period's gain, never below nothing nor above the burst.
+// addTokens adds the net gain of a period to the quota's bucket, within 0 and the plan's burst.
 func (c *customer) addTokens(units float64) { c.tokens = min(max(c.tokens+units, 0), c.plan.Burst) }
--- a/choice/selection.go
+++ b/choice/selection.go
@@ -1,76 +1,79 @@
 package choice
 
-// Selection: the backend that a further attempt goes to.
+// Selection of the backend for an attempt.
 
 import (
 	"math"
 	"slices"
 )
 
-// pickBackend returns a backend for a further attempt of r, or nil: the best of a few taken by chance. Own attempts
-// out tell less of a backend's work the more gateways there are, which would all pickBackend the same best one. It
-// guards against herding of any cause, on a report, a size or a zone. Among few gateways it wastes knowledge.
+// pickBackend returns a backend for the next attempt of r, or nil: the one of lowest cost among a few random
+// ones (power of k choices). Sampling prevents herding: with many gateways, this gateway's attempts in flight
+// tell little of a backend's load, and all gateways would choose the same best one by a report, a weight or a
+// zone. A known weakness: among few gateways, sampling ignores information that they have.
 func (g *Gateway) pickBackend(r *request) *backend {
 	var best *backend
-	cost := math.Inf(1)
-	cold, turns := g.pickCold()
-	try := func(b *backend, healthy bool) {
-		if turns && b != cold && g.cold.contains(b) {
+	bestCost := math.Inf(1)
+	cold, limitCold := g.pickCold()
+	consider := func(b *backend, healthyOnly bool) {
+		if limitCold && b != cold && g.cold.contains(b) {
 			return
 		}
 		unhealthy := g.now < b.ejectedUntil || g.unresponsive(b) ||
 			slices.ContainsFunc(r.attempts, func(a attempt) bool { return a.backend == b })
-		if g.effectAllows(r, b) && g.withinColdLimit(b) && !(healthy && unhealthy) {
-			if c := g.cost(r, b); c < cost {
-				best, cost = b, c
+		if g.effectAllows(r, b) && g.withinColdLimit(b) && !(healthyOnly && unhealthy) {
+			if cost := g.cost(r, b); cost < bestCost {
+				best, bestCost = b, cost
 			}
 		}
 	}
 	if cold != nil {
-		if try(cold, true); best != nil {
+		if consider(cold, true); best != nil {
 			return best
 		}
 	}
 	n := g.ready.size()
-	if few := max(minPickSamples, tierPickSamplesPerBackend*n/g.cfg.Gateways); few < n {
-		for range few {
-			try(g.ready.members[g.rng.IntN(n)], true)
+	if samples := max(minPickSamples, tierPickSamplesPerBackend*n/g.cfg.Gateways); samples < n {
+		for range samples {
+			consider(g.ready.members[g.rng.IntN(n)], true)
 		}
 		if b := g.randomReusable(); b != nil {
-			try(b, true)
+			consider(b, true)
 		}
 	}
-	for healthy := true; best == nil; healthy = false {
+	for healthyOnly := true; best == nil; healthyOnly = false {
 		for _, b := range g.ready.members {
-			try(b, healthy)
+			consider(b, healthyOnly)
 		}
-		if !healthy {
+		if !healthyOnly {
 			break
 		}
 	}
 	return best
 }
 
-// cost weighs a backend by work held for its size, latency, distance, failures and a little chance.
+// cost returns the cost of sending r to b. It grows with the requests in flight relative to the backend's
+// capacity, latency, the distance, a new connection and failures, and has a small random part.
 func (g *Gateway) cost(r *request, b *backend) float64 {
 	others := b.otherInFlight
 	if (g.now - b.reportedAt).Seconds() > maxReportAgeAims*g.maxAim.Seconds() {
 		others = g.meanOtherInFlight
 	}
-	c := (ownInFlightWeight*float64(b.inFlight) + otherInFlightWeight*others + 1) / (g.capacityWeight(b) * g.capacityFraction(b)) * max(b.relativeLatency, minCostLatency)
+	cost := (ownInFlightWeight*float64(b.inFlight) + otherInFlightWeight*others + 1) /
+		(g.capacityWeight(b) * g.capacityFraction(b)) * max(b.relativeLatency, minCostLatency)
 	if b.Zone != g.cfg.Zone {
-		c *= 1 + crossZoneWeight*g.cfg.CrossZoneCost
+		cost *= 1 + crossZoneWeight*g.cfg.CrossZoneCost
 	}
 	if !g.hasReusableConn(b) {
-		c *= 1 + handshakeWeight*g.cfg.HandshakeCost
+		cost *= 1 + handshakeWeight*g.cfg.HandshakeCost
 	}
-	c *= 1 + failureWeight*(b.failureRate+g.zoneFailureRates[b.Zone])
-	return c * (1 + costJitterFactor*g.rng.Float64())
+	cost *= 1 + failureWeight*(b.failureRate+g.zoneFailureRates[b.Zone])
+	return cost * (1 + costJitterFactor*g.rng.Float64())
 }
 
-// randomReusable returns a backend with an own connection that can be used again, or nil where handshakes cost
-// nothing or there are too few yet: the fewer backends each gateway keeps to, the less even is what all of
-// them send to one backend.
+// randomReusable returns a random backend with a reusable connection, or nil. It returns nil if handshakes
+// cost nothing, and if there are too few such backends: the fewer backends each gateway prefers, the less even
+// is the sum of all gateways' requests at one backend.
 func (g *Gateway) randomReusable() *backend {
 	g.expireReusable()
 	n := g.reusable.size()
@@ -80,12 +83,13 @@
 	return g.reusable.members[g.rng.IntN(n)]
 }
 
-// hasReusableConn tells whether an own connection to b has carried an answer and is free.
+// hasReusableConn tells whether a connection of this gateway to b has carried an answer and is free. After
+// half of the idle timeout it no longer counts, since the backend may be about to close it.
 func (g *Gateway) hasReusableConn(b *backend) bool {
 	return b.reusableConns > 0 && (g.cfg.ConnIdleTimeout <= 0 || g.now-b.lastOutcome <= g.cfg.ConnIdleTimeout/2)
 }
 
-// capacityWeight is what the settings let one know of a backend's capacityWeight.
+// capacityWeight returns the backend's registered capacity if weights are trusted, otherwise 1.
 func (g *Gateway) capacityWeight(b *backend) float64 {
 	if g.cfg.WeightsTrusted && b.Weight > 0 {
 		return b.Weight
@@ -93,21 +97,21 @@
 	return 1
 }
 
-// effectAllows tells whether the rule of effects lets r go to b now.
+// effectAllows tells whether the effect of r's class allows an attempt at b now.
 func (g *Gateway) effectAllows(r *request, b *backend) bool {
-	a := r.firstPossibleRun()
-	if a == nil {
+	first := r.firstPossibleRun()
+	if first == nil {
 		return true
 	}
-	cl := &g.cfg.Classes[r.Class]
-	switch cl.Effect {
+	class := &g.cfg.Classes[r.Class]
+	switch class.Effect {
 	case SingleShot:
 		return false
 	case Guarded:
-		// The repeat may have to wait for its connection, and has to begin within the window.
-		return g.now-a.sentAt+g.cfg.ConnectTimeout < cl.DedupWindow && (cl.Group == GroupAll ||
-			cl.Group == GroupZone && b.Zone == a.backend.Zone ||
-			cl.Group == GroupCell && b.Cell == a.backend.Cell)
+		// The repeat may have to wait for a connection, and has to start within the deduplication window.
+		return g.now-first.sentAt+g.cfg.ConnectTimeout < class.DedupWindow && (class.Group == GroupAll ||
+			class.Group == GroupZone && b.Zone == first.backend.Zone ||
+			class.Group == GroupCell && b.Cell == first.backend.Cell)
 	}
 	return true
 }
--- a/choice/settings.go
+++ b/choice/settings.go
@@ -44,7 +44,7 @@
 	maxLagPeriods     = 13  // meter periods: the longest lag that is recognised
 	lagWindowReadings = 100 // readings over which the lag is averaged
 	slotsPerPeriod    = 4   // slots of history in one meter period
-	historySlots      = 64  // slots kept: more than maxLagPeriods
+	historySlots      = 64  // slots kept: maxLagPeriods and a few more
 
 	// Eviction of idle customers.
 
