--- a/choice/attempts.go
+++ b/choice/attempts.go
@@ -1,6 +1,6 @@
 package choice
 
-// Attempts: when one is made, what its end tells, and the final answer.
+// Attempts: sending, hedging, handling of outcomes, retries and the final answer of a request.
 
 import (
 	"math"
@@ -8,13 +8,13 @@
 	"time"
 )
 
-// sendAttempt starts the next attempt of r, or tells what stands against it.
+// sendAttempt sends the next attempt of r. If it cannot, it returns the reason.
 func (g *Gateway) sendAttempt(r *request) Reason {
-	left := r.deadline - g.now
+	timeLeft := r.deadline - g.now
 	switch {
 	case len(r.attempts) >= g.cfg.MaxAttempts:
 		return AttemptsExhausted
-	case left <= 0:
+	case timeLeft <= 0:
 		return DeadlinePassed
 	case r.inFlight > 0 && !g.cfg.Hedging:
 		return AttemptInFlight
@@ -23,8 +23,9 @@
 	if b == nil {
 		return NoBackend
 	}
-	// The ceiling counts what comes to a backend. A connection that failed may have taken so long that the
-	// part has filled again: the attempt that comes first draws at its own time.
+	// The ceiling counts the attempts that reach a backend: the first one draws from its bucket, at the time
+	// of its send. If earlier attempts failed to connect, what they drew may have been refilled in the
+	// meantime, so the units are checked and drawn again.
 	if !slices.ContainsFunc(r.attempts, func(a attempt) bool { return !a.neverSent }) {
 		if len(r.attempts) > 0 && !g.ceilingAllows(r.customer, r.Units) {
 			return Ceiling
@@ -47,15 +48,15 @@
 	r.inFlight++
 	r.customer.inFlight++
 	r.attempts = append(r.attempts, attempt{backend: b, sentAt: g.now})
-	g.actions.Send(r.ID, b.ID, left)
+	g.actions.Send(r.ID, b.ID, timeLeft)
 	if g.cfg.Classes[r.Class].Effect != SingleShot && (g.cfg.Hedging || g.cfg.Cancelling) {
-		wait := hedgeDelayAims * g.cfg.Classes[r.Class].Aim.Seconds()
-		g.actions.SetTimer(seconds(wait), uint64(r.ID)<<8|uint64(len(r.attempts)&0xff))
+		delay := hedgeDelayAims * g.cfg.Classes[r.Class].Aim.Seconds()
+		g.actions.SetTimer(seconds(delay), uint64(r.ID)<<8|uint64(len(r.attempts)&0xff))
 	}
 	return None
 }
 
-// TimerExpired takes a timer that is due: the wait for an attempt, or for the end of the process.
+// TimerExpired handles the expiry of a timer: the hedge delay of an attempt, or the deadline given to Stop.
 func (g *Gateway) TimerExpired(now time.Duration, token uint64) {
 	g.advance(now)
 	if token == stopTimerToken {
@@ -67,9 +68,11 @@
 		return
 	}
 	last := &r.attempts[len(r.attempts)-1]
-	g.latencyRatioSum += min(maxLatencySample, (now-last.sentAt).Seconds()/g.cfg.Classes[r.Class].Aim.Seconds()/targetLatencyAims)
+	g.latencyRatioSum += min(maxLatencySample,
+		(now-last.sentAt).Seconds()/g.cfg.Classes[r.Class].Aim.Seconds()/targetLatencyAims)
 	g.latencyRatioCount++
-	if g.retryBudget < 1 || float64(g.inFlight) > g.concurrencyLimit()*(1-reservedLimitShare) && !g.unresponsive(last.backend) {
+	if g.retryBudget < 1 ||
+		float64(g.inFlight) > g.concurrencyLimit()*(1-reservedLimitShare) && !g.unresponsive(last.backend) {
 		return
 	}
 	if g.cfg.Hedging {
@@ -81,7 +84,7 @@
 	}
 }
 
-// sendProbes asks the ready backends in turn for the requests they hold, in step with the requests sent.
+// sendProbes requests load reports from the ready backends in turn, at a rate proportional to the requests.
 func (g *Gateway) sendProbes() {
 	if !g.cfg.Probing || g.inFlightIndex < 0 {
 		return
@@ -92,7 +95,7 @@
 	}
 }
 
-// Outcome takes the end of an attempt, and answers the request or tries again.
+// Outcome handles the result of an attempt: it retries the request or gives its final answer.
 func (g *Gateway) Outcome(now time.Duration, o Outcome) {
 	g.advance(now)
 	r := g.requests[o.ID]
@@ -126,27 +129,29 @@
 	}
 }
 
-// observeOutcome takes what an outcome says of the backend and of the fleet.
+// observeOutcome updates the statistics of latency and health with the outcome of an attempt.
 func (g *Gateway) observeOutcome(r *request, a *attempt, o Outcome) {
-	cl := &g.classes[r.Class]
+	stats := &g.classes[r.Class]
 	aim := g.cfg.Classes[r.Class].Aim.Seconds()
-	lat := o.Elapsed.Seconds()
-	w := max(minLatencyWeight, 1-math.Exp(-(g.now-a.backend.lastOutcome).Seconds()/latencyWindowAims/g.maxAim.Seconds()))
+	latency := o.Elapsed.Seconds()
+	weight := max(minLatencyWeight,
+		1-math.Exp(-(g.now-a.backend.lastOutcome).Seconds()/latencyWindowAims/g.maxAim.Seconds()))
 	if o.Status == OK || o.Status == Timeout {
 		if a.backend.relativeLatency < slowBackendFloor {
-			g.latencyRatioSum += min(maxLatencySample, lat/aim/targetLatencyAims)
+			g.latencyRatioSum += min(maxLatencySample, latency/aim/targetLatencyAims)
 			g.latencyRatioCount++
 		}
-		unheard := 1.0
+		statusWeight := 1.0
 		if o.Status == Timeout {
-			unheard = timeoutLatencyWeight
+			statusWeight = timeoutLatencyWeight
 		}
-		a.backend.relativeLatency += min(1, w*unheard) * (min(lat/max(cl.meanLatency, 1e-6), maxRelativeLatency) - a.backend.relativeLatency)
+		a.backend.relativeLatency += min(1, weight*statusWeight) *
+			(min(latency/max(stats.meanLatency, 1e-6), maxRelativeLatency) - a.backend.relativeLatency)
 	}
 	switch o.Status {
 	case OK:
 		if a.backend.relativeLatency < slowBackendFloor {
-			cl.meanLatency += minLatencyWeight / 2 * (lat - cl.meanLatency)
+			stats.meanLatency += minLatencyWeight / 2 * (latency - stats.meanLatency)
 		}
 	case Refused:
 		g.latencyRatioSum += maxLatencySample
@@ -161,11 +166,11 @@
 	if o.Status != Refused && o.Status != Cancelled && o.Status != CancelledBeforeSend {
 		a.backend.lastOutcome = g.now
 		g.addReusable(a.backend)
-		g.recordResult(a.backend, o.Status != OK, w)
+		g.recordResult(a.backend, o.Status != OK, weight)
 	}
 }
 
-// firstPossibleRun is the firstPossibleRun attempt that may have run, or is out.
+// firstPossibleRun returns the first attempt that is in flight or may have run, or nil.
 func (r *request) firstPossibleRun() *attempt {
 	for i := range r.attempts {
 		if a := &r.attempts[i]; !a.neverRan {
@@ -175,45 +180,48 @@
 	return nil
 }
 
-// retryOrAnswer makes a further attempt or gives the final answer.
+// retryOrAnswer sends a further attempt after one that ended with the given status, or gives the final
+// answer.
 func (g *Gateway) retryOrAnswer(r *request, last Status) {
 	price := 1.0
 	if last == ConnectFailed {
-		price = 0 // it cost no backend any work, so it cannot feed an overload
+		price = 0 // the attempt caused no work at a backend, so its retry cannot amplify an overload
 	}
-	cl := &g.cfg.Classes[r.Class]
-	var against Reason
+	class := &g.cfg.Classes[r.Class]
+	var reason Reason
 	switch {
 	case last == CancelledBeforeSend:
-		against = Abandoned
+		reason = Abandoned
 	case g.retryBudget < price:
-		against = RetryBudget
+		reason = RetryBudget
 	default:
-		against = g.sendAttempt(r)
-		if against == NoBackend && cl.Effect == SingleShot && r.firstPossibleRun() != nil {
-			against = NotRepeatable
+		reason = g.sendAttempt(r)
+		if reason == NoBackend && class.Effect == SingleShot && r.firstPossibleRun() != nil {
+			reason = NotRepeatable
 		}
 	}
-	if against == None {
+	if reason == None {
 		g.retryBudget -= price
 		return
 	}
-	g.answer(r, against)
+	g.answer(r, reason)
 }
 
-// answer gives r its final answer: a refusal where another try does no harm and its client still waits.
-func (g *Gateway) answer(r *request, against Reason) {
+// answer gives r its final answer: a refusal if a retry by the client is safe and the client still waits,
+// otherwise a failure.
+func (g *Gateway) answer(r *request, reason Reason) {
 	r.answered = true
-	cl := &g.cfg.Classes[r.Class]
-	harmless := r.firstPossibleRun() == nil || cl.Effect == Free || cl.Effect == Guarded && cl.Group == GroupAll
-	if harmless && (g.now < r.deadline || r.limitedByStop) {
-		g.actions.Refuse(r.ID, g.retryAfterHint, against)
+	class := &g.cfg.Classes[r.Class]
+	retrySafe := r.firstPossibleRun() == nil || class.Effect == Free ||
+		class.Effect == Guarded && class.Group == GroupAll
+	if retrySafe && (g.now < r.deadline || r.limitedByStop) {
+		g.actions.Refuse(r.ID, g.retryAfterHint, reason)
 	} else {
-		g.actions.Fail(r.ID, against)
+		g.actions.Fail(r.ID, reason)
 	}
 }
 
-// ClientDisconnected ends a request whose client has left.
+// ClientDisconnected ends a request whose client has disconnected.
 func (g *Gateway) ClientDisconnected(now time.Duration, id uint32) {
 	g.advance(now)
 	r := g.requests[id]
@@ -227,7 +235,7 @@
 	g.cancelAttempts(r)
 }
 
-// cancelAttempts stops what is still out for a request that is over.
+// cancelAttempts cancels the attempts in flight of an answered request.
 func (g *Gateway) cancelAttempts(r *request) {
 	for i := range r.attempts {
 		if a := &r.attempts[i]; g.cfg.Cancelling && !a.ended && !a.cancelled {
--- a/choice/export_test.go
+++ b/choice/export_test.go
@@ -6,60 +6,64 @@
 	"slices"
 )
 
-// KnownBackends tells how many backends a gateway keeps.
+// KnownBackends returns the number of backends of which a gateway has a record.
 func KnownBackends(g *Gateway) int { return len(g.backends) }
 
-// KnownCustomers tells how many customers a gateway keeps.
+// KnownCustomers returns the number of customers of which a gateway has a record.
 func KnownCustomers(g *Gateway) int { return len(g.customers) }
 
-// CheckBackendSets holds what a gateway counts and gathers against a walk over all backends.
+// CheckBackendSets compares the sets of backends and the running totals of a gateway with a walk over all
+// backends. Its error describes the first difference.
 func CheckBackendSets(g *Gateway) error {
 	g.expireEjections()
 	g.expireReusable()
 	g.updateCold()
-	ready, ejected, cold, kept, out, coldOut, sizes := 0, 0, 0, 0, 0, 0, 0.0
+	ready, ejected, cold, reusable, inFlight, coldInFlight, weight := 0, 0, 0, 0, 0, 0, 0.0
 	for id, b := range g.backends {
 		if b.ID != id {
-			return fmt.Errorf("backend %d is kept as %d", b.ID, id)
+			return fmt.Errorf("the record of backend %d is stored under id %d", b.ID, id)
 		}
 		if b.State == Removed && b.inFlight == 0 {
-			return fmt.Errorf("backend %d was removed and is still kept", id)
+			return fmt.Errorf("backend %d was removed, and its record still exists", id)
 		}
 		if b.State != Ready {
 			if b.positions != [setKindCount]int{} {
-				return fmt.Errorf("backend %d in state %d is in sets: %v", id, b.State, b.positions)
+				return fmt.Errorf("backend %d in state %d is in sets: positions %v", id, b.State, b.positions)
 			}
 			continue
 		}
-		isCold, isKept := g.capacityFraction(b) < 1, g.cfg.HandshakeCost > 0 && g.hasReusableConn(b)
-		if !g.ready.contains(b) || g.cold.contains(b) != isCold || g.reusable.contains(b) != isKept {
-			return fmt.Errorf("backend %d, cold %t, kept %t, is in sets: %v", id, isCold, isKept, b.positions)
+		isCold, isReusable := g.capacityFraction(b) < 1, g.cfg.HandshakeCost > 0 && g.hasReusableConn(b)
+		if !g.ready.contains(b) || g.cold.contains(b) != isCold || g.reusable.contains(b) != isReusable {
+			return fmt.Errorf("backend %d, cold %t, reusable %t, is in the wrong sets: positions %v",
+				id, isCold, isReusable, b.positions)
 		}
 		ready++
-		out += b.inFlight
-		sizes += g.capacityWeight(b)
+		inFlight += b.inFlight
+		weight += g.capacityWeight(b)
 		if g.now < b.ejectedUntil {
 			ejected++
 		}
 		if isCold {
 			cold++
-			coldOut += b.inFlight
+			coldInFlight += b.inFlight
 		}
-		if isKept {
-			kept++
+		if isReusable {
+			reusable++
 		}
 	}
 	for _, s := range []*backendSet{&g.ready, &g.cold, &g.reusable} {
 		for i, b := range s.members {
 			if b.positions[s.kind] != i+1 {
-				return fmt.Errorf("backend %d is at place %d of set %d, and knows %v", b.ID, i, s.kind, b.positions)
+				return fmt.Errorf("backend %d is member %d of set %d, but its positions are %v",
+					b.ID, i, s.kind, b.positions)
 			}
 		}
 	}
-	walked := []int{ready, cold, kept, ejected, out, coldOut}
+	walked := []int{ready, cold, reusable, ejected, inFlight, coldInFlight}
 	counted := []int{g.ready.size(), g.cold.size(), g.reusable.size(), g.ejectedCount, g.readyInFlight, g.coldInFlight}
-	if !slices.Equal(walked, counted) || math.Abs(sizes-g.readyWeight) > 1e-6 {
-		return fmt.Errorf("a walk finds %v of size %v, counted are %v of size %v", walked, sizes, counted, g.readyWeight)
+	if !slices.Equal(walked, counted) || math.Abs(weight-g.readyWeight) > 1e-6 {
+		return fmt.Errorf("a walk finds the totals %v and weight %v, the gateway has %v and %v",
+			walked, weight, counted, g.readyWeight)
 	}
 	return nil
 }
--- a/choice/health.go
+++ b/choice/health.go
@@ -58,7 +58,7 @@
 }
 
 // recordResult updates the failure rates of a backend and of its zone, and ejects the backend if its rate is
-// too high. The period of an ejection is randomized, so that backends ejected together do not return together.
+// too high. The period of an ejection is randomized by up to a fifth.
 func (g *Gateway) recordResult(b *backend, failed bool, weight float64) {
 	sample := 0.0
 	if failed {
--- a/choice/membership.go
+++ b/choice/membership.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// The fleet: which backends there are, and which of them are cold, ejected, or reached by a kept connection.
-// One change of the list, and one request, cost the same however large the fleet is: what they ask of it is
-// counted, or stands in a set of its own.
+// Membership: the known backends, and the sets of those that are ready, cold, ejected or reachable by a
+// reusable connection. The cost of a change to one backend, and of a request, does not depend on the number
+// of backends: the figures that they need are kept as running totals and in separate sets.
 
-// setKind names a set of backends.
+// setKind identifies a set of backends.
 type setKind int
 
-// The sets. A backend knows its place in each.
+// The sets. Each backend stores its position in each of them.
 const (
 	readySet setKind = iota
 	coldSet
@@ -21,7 +21,8 @@
 	setKindCount
 )
 
-// backendSet is a set whose order hangs on what happened alone, so that results do not hang on that of a map.
+// backendSet is a set whose order depends only on the order of its changes. Iteration over a map would make
+// the decisions vary between runs.
 type backendSet struct {
 	kind    setKind
 	members []*backend
@@ -38,14 +39,14 @@
 	}
 }
 
-// remove moves the last member to the place that gets free.
+// remove moves the last member to the position of the removed one.
 func (s *backendSet) remove(b *backend) {
 	if !s.contains(b) {
 		return
 	}
-	place, last := b.positions[s.kind]-1, len(s.members)-1
-	s.members[place] = s.members[last]
-	s.members[place].positions[s.kind] = place + 1
+	i, last := b.positions[s.kind]-1, len(s.members)-1
+	s.members[i] = s.members[last]
+	s.members[i].positions[s.kind] = i + 1
 	s.members[last] = nil
 	s.members = s.members[:last]
 	b.positions[s.kind] = 0
@@ -59,45 +60,45 @@
 		return
 	}
 	g.listNumber++
-	for _, m := range list {
-		b := g.backends[m.ID]
+	for _, entry := range list {
+		b := g.backends[entry.ID]
 		if b == nil {
 			b = &backend{relativeLatency: 1}
-			g.backends[m.ID] = b
+			g.backends[entry.ID] = b
 		}
 		b.listNumber = g.listNumber
-		g.updateBackend(b, m)
+		g.updateBackend(b, entry)
 	}
 	if kind != Delta {
 		g.removeUnlisted()
 	}
 }
 
-// updateBackend gives a backend its new line.
-func (g *Gateway) updateBackend(b *backend, m Backend) {
-	if b.StartKnown != m.StartKnown || b.Started != m.Started {
+// updateBackend replaces a backend's entry. After a restart of the backend its statistics are reset.
+func (g *Gateway) updateBackend(b *backend, entry Backend) {
+	if b.StartKnown != entry.StartKnown || b.Started != entry.Started {
 		g.endEjection(b)
 		g.reusable.remove(b)
 		b.failureRate, b.relativeLatency, b.reusableConns = 0, 1, 0
 	}
 	switch {
 	case !g.ready.contains(b):
-	case m.State == Ready:
-		g.readyWeight -= g.capacityWeight(b) // it joins with the new one
+	case entry.State == Ready:
+		g.readyWeight -= g.capacityWeight(b) // addReady adds the new weight
 	default:
 		g.removeReady(b)
 	}
-	if b.Backend = m; m.State == Ready {
+	if b.Backend = entry; entry.State == Ready {
 		g.addReady(b)
 	}
 	g.dropIfRemoved(b)
 }
 
-// removeUnlisted removes what the last list did not name. It goes by the fleet's order, not the map's, since
-// the order of the fleet that is left shows in the results.
+// removeUnlisted removes the backends that the last list did not contain. It walks the ready set and not the
+// map, since the removals determine the order of the remaining members, and decisions depend on that order.
 func (g *Gateway) removeUnlisted() {
-	for place := g.ready.size() - 1; place >= 0; place-- {
-		if b := g.ready.members[place]; b.listNumber != g.listNumber {
+	for i := g.ready.size() - 1; i >= 0; i-- {
+		if b := g.ready.members[i]; b.listNumber != g.listNumber {
 			g.removeReady(b)
 		}
 	}
@@ -109,14 +110,14 @@
 	}
 }
 
-// dropIfRemoved drops a backend that was removed, once nothing is out at it.
+// dropIfRemoved deletes the record of a removed backend once it has no attempt in flight.
 func (g *Gateway) dropIfRemoved(b *backend) {
 	if b.State == Removed && b.inFlight == 0 && g.backends[b.ID] == b {
 		delete(g.backends, b.ID)
 	}
 }
 
-// addReady takes a backend with a new line into the fleet, if it is not there.
+// addReady adds a backend with a new entry to the ready set and to the totals, unless it is there.
 func (g *Gateway) addReady(b *backend) {
 	g.readyWeight += g.capacityWeight(b)
 	if g.capacityFraction(b) < 1 {
@@ -136,7 +137,7 @@
 	g.addReusable(b)
 }
 
-// removeReady takes a backend out of the fleet.
+// removeReady removes a backend from the ready set and from the totals.
 func (g *Gateway) removeReady(b *backend) {
 	g.expireEjections()
 	if g.now < b.ejectedUntil {
@@ -151,12 +152,12 @@
 
 // Cold backends.
 
-// updateCold takes those out of the cold ones that are warm by now, and adds up the attempts out at the others.
-// It walks the cold ones alone.
+// updateCold removes backends that have warmed up from the cold set, and counts the attempts in flight at the
+// others. It takes time in proportion to the cold backends.
 func (g *Gateway) updateCold() {
 	g.coldInFlight = 0
-	for place := g.cold.size() - 1; place >= 0; place-- {
-		if b := g.cold.members[place]; g.capacityFraction(b) >= 1 {
+	for i := g.cold.size() - 1; i >= 0; i-- {
+		if b := g.cold.members[i]; g.capacityFraction(b) >= 1 {
 			g.cold.remove(b)
 		} else {
 			g.coldInFlight += b.inFlight
@@ -164,15 +165,15 @@
 	}
 }
 
-// Kept connections.
+// Reusable connections.
 
-// reusableEntry is a backend with a kept connection and when it was heard of.
+// reusableEntry is a backend with a reusable connection and the time of its last outcome at that moment.
 type reusableEntry struct {
 	lastOutcome time.Duration
 	*backend
 }
 
-// addReusable takes a backend in which an own connection may be used again, as long as that is so.
+// addReusable adds a backend to the reusable set if it has a reusable connection.
 func (g *Gateway) addReusable(b *backend) {
 	if g.cfg.HandshakeCost <= 0 || !g.ready.contains(b) || !g.hasReusableConn(b) {
 		return
@@ -184,7 +185,8 @@
 	}
 }
 
-// expireReusable takes those out whose connections have been idle for too long since they were last heard of.
+// expireReusable removes backends from the reusable set whose connections have been idle for half of
+// Config.ConnIdleTimeout. An entry of the queue is out of date if its backend had an outcome since then.
 func (g *Gateway) expireReusable() {
 	for len(g.reusableQueue) > 0 && g.now-g.reusableQueue[0].lastOutcome > g.cfg.ConnIdleTimeout/2 {
 		if first := g.reusableQueue[0]; first.backend.lastOutcome == first.lastOutcome {
@@ -196,25 +198,25 @@
 
 // Ejections.
 
-// ejection is the end of one: of a backend's last, unless that was pardoned since.
+// ejection is the end of an ejection. It is out of date if the backend's ejectedUntil differs.
 type ejection struct {
 	until time.Duration
 	*backend
 }
 
-// eject keeps a backend from further requests until a time.
+// eject excludes a backend from selection until the given time, unless no healthy one is eligible.
 func (g *Gateway) eject(b *backend, until time.Duration) {
 	b.ejectedUntil = until
-	place, _ := slices.BinarySearchFunc(g.ejections, until, func(e ejection, until time.Duration) int {
+	i, _ := slices.BinarySearchFunc(g.ejections, until, func(e ejection, until time.Duration) int {
 		return cmp.Compare(e.until, until)
 	})
-	g.ejections = slices.Insert(g.ejections, place, ejection{until, b})
+	g.ejections = slices.Insert(g.ejections, i, ejection{until, b})
 	if g.ready.contains(b) {
 		g.ejectedCount++
 	}
 }
 
-// endEjection ends a backend's ejection.
+// endEjection ends a backend's ejection early.
 func (g *Gateway) endEjection(b *backend) {
 	g.expireEjections()
 	if g.ready.contains(b) && g.now < b.ejectedUntil {
@@ -223,7 +225,7 @@
 	b.ejectedUntil = 0
 }
 
-// expireEjections counts no more the ejections that have ended.
+// expireEjections removes ejections that are over from the list and from the count.
 func (g *Gateway) expireEjections() {
 	for len(g.ejections) > 0 && g.ejections[0].until <= g.now {
 		e := g.ejections[0]
--- a/choice/pressure.go
+++ b/choice/pressure.go
@@ -19,8 +19,8 @@
 	}
 	share := 1 - reservedLimitShare*(1-g.worthRate(r.Class)/maxWorthRate)
 	// The more gateways, the less evenly traffic falls on them: with an even share, busy gateways would
-	// reject what the backends have room for, so the share grows. The limit still shrinks on late answers. Where
-	// overuse has a cost, the share stays even: much of the traffic of a busy gateway then comes from
+	// reject what the backends have room for, so the share grows. The limit still shrinks on late answers.
+	// Where overuse has a cost, the share stays even: much of the traffic of a busy gateway then comes from
 	// customers beyond their quota.
 	unevenness := max(1, math.Sqrt(float64(g.cfg.Gateways)/smallTierGateways))
 	share *= 1 + (unevenness-1)*r.customer.plan.overuseAllowance()
--- a/choice/selection.go
+++ b/choice/selection.go
@@ -72,8 +72,8 @@
 }
 
 // randomReusable returns a random backend with a reusable connection, or nil. It returns nil if handshakes
-// cost nothing, and if there are too few such backends: the fewer backends each gateway prefers, the less even
-// is the sum of all gateways' requests at one backend.
+// cost nothing, and if there are too few such backends: the fewer backends each gateway prefers, the less
+// even is the sum of all gateways' requests at one backend.
 func (g *Gateway) randomReusable() *backend {
 	g.expireReusable()
 	n := g.reusable.size()
@@ -84,9 +84,11 @@
 }
 
 // hasReusableConn tells whether a connection of this gateway to b has carried an answer and is free. After
-// half of the idle timeout it no longer counts, since the backend may be about to close it.
+// half of the idle timeout it no longer counts: the timeout is an upper bound, and the backend may close the
+// connection earlier.
 func (g *Gateway) hasReusableConn(b *backend) bool {
-	return b.reusableConns > 0 && (g.cfg.ConnIdleTimeout <= 0 || g.now-b.lastOutcome <= g.cfg.ConnIdleTimeout/2)
+	return b.reusableConns > 0 &&
+		(g.cfg.ConnIdleTimeout <= 0 || g.now-b.lastOutcome <= g.cfg.ConnIdleTimeout/2)
 }
 
 // capacityWeight returns the backend's registered capacity if weights are trusted, otherwise 1.
--- a/choice/stopping.go
+++ b/choice/stopping.go
@@ -1,7 +1,7 @@
 package choice
 
-// Stopping: a gateway whose process is told to end gives every request its final answer by a time that it is
-// told, whatever the clients' own times are.
+// Graceful stop: once the process is asked to end, each request has its final answer by a given time, even if
+// its client would wait longer.
 
 import (
 	"maps"
@@ -10,10 +10,11 @@
 	"time"
 )
 
-// stopTimerToken is the token of the timer that answers what is open at the end. Those of requests are smaller.
+// stopTimerToken is the token of the timer that answers all open requests. Tokens of requests are smaller.
 const stopTimerToken = math.MaxUint64
 
-// Stop tells that the process ends: each request, those to come too, has its final answer by the time given.
+// Stop announces the end of the process. Each open and each later request gets its final answer by answerBy.
+// If Stop is called again, the earliest time applies.
 func (g *Gateway) Stop(now, answerBy time.Duration) {
 	g.advance(now)
 	if g.stopping && g.answerDeadline <= answerBy {
@@ -26,20 +27,20 @@
 	g.actions.SetTimer(max(0, answerBy-now), stopTimerToken)
 }
 
-// applyStopDeadline bounds a request's time by the end of the process.
+// applyStopDeadline limits a request's deadline to the end of the process.
 func (g *Gateway) applyStopDeadline(r *request) {
 	if g.stopping && r.deadline > g.answerDeadline {
 		r.deadline, r.limitedByStop = g.answerDeadline, true
 	}
 }
 
-// stopsBeforeAim tells of a request that the end of the process leaves too little of its time: less than its aim.
-// Another gateway has all of it.
+// stopsBeforeAim tells whether the end of the process leaves a request less time than its aim. Such a request
+// is refused, since another gateway can give it its full time.
 func (g *Gateway) stopsBeforeAim(r *request) bool {
 	return r.limitedByStop && r.deadline-g.now < g.cfg.Classes[r.Class].Aim
 }
 
-// answerAll gives what is still open its final answer.
+// answerAll gives all open requests their final answers, in the order of their ids.
 func (g *Gateway) answerAll() {
 	if g.now < g.answerDeadline {
 		g.actions.SetTimer(g.answerDeadline-g.now, stopTimerToken)
