--- a/choice/api.go
+++ b/choice/api.go
@@ -28,12 +28,12 @@
 	MeterPeriod time.Duration // the period over which the meter adds up use; 0: no meter
 	MaxUnits    float64       // upper bound of Request.Units
 
-	MaxAttempts         int  // attempts that a request may have
-	Hedging             bool // a request may have two attempts in flight at once
-	Probing             bool // Actions.Probe is permitted
-	Cancelling          bool // Actions.Cancel is permitted
-	MaxRetryAfter       time.Duration
-	RetryAfterSupported bool // clients receive the advice given with Refuse
+	MaxAttempts         int           // attempts that a request may have
+	Hedging             bool          // a request may have two attempts in flight at once
+	Probing             bool          // Actions.Probe is permitted
+	Cancelling          bool          // Actions.Cancel is permitted
+	MaxRetryAfter       time.Duration // the longest advised delay that clients follow
+	RetryAfterSupported bool          // clients receive the advice given with Refuse
 
 	WeightsTrusted bool     // Backend.Weight is the registered capacity, at least approximately
 	ReportFields   []string // order of the values in a load report; "inflight" and "latency_ms" are known
@@ -43,8 +43,8 @@
 
 	InitialCapacity float64       // a starting backend has at least this fraction of its capacity
 	WarmUpPeriod    time.Duration // upper bound of the time from its start to its full capacity
-	// A cold backend fails if it is sent more than ColdOverloadFactor times its capacity for
-	// ColdOverloadPeriod.
+	// A backend that is warming up (cold) fails if it is sent more than ColdOverloadFactor times its capacity
+	// for ColdOverloadPeriod.
 	ColdOverloadFactor float64
 	ColdOverloadPeriod time.Duration
 	DrainGrace         time.Duration // sends to a draining backend must have ceased by then
@@ -158,7 +158,7 @@
 	Kind       int
 	Cell       int
 	State      State
-	Weight     float64
+	Weight     float64       // registered capacity; see Config.WeightsTrusted
 	Started    time.Duration // time of its last start, on the caller's clock
 	StartKnown bool          // Started is known; otherwise the backend counts as warm
 }
@@ -218,9 +218,8 @@
 	Status   Status
 	Elapsed  time.Duration
 	Answered bool // the request has its final answer
-	// Metered tells that Used was reported: the customer's use over all
-	// gateways in the last period added up, as a fraction of its rate (of
-	// Plan.MaxInFlight where the plan has no rate).
+	// Metered tells that the answer reported Used: the customer's use over all gateways in the last metered
+	// period, as a fraction of the plan's rate, or of MaxInFlight if the plan has no rate.
 	Metered bool
 	Used    float64
 	Load    Load
--- a/choice/choice.go
+++ b/choice/choice.go
@@ -160,15 +160,15 @@
 }
 
 // New returns a Gateway. Its error names the field of cfg with an invalid value.
-func New(cfg Config, seed uint64, now time.Duration, act Actions) (*Gateway, error) {
-	if act == nil {
+func New(cfg Config, seed uint64, now time.Duration, actions Actions) (*Gateway, error) {
+	if actions == nil {
 		return nil, fmt.Errorf("choice: Actions is nil")
 	}
 	if err := cfg.check(); err != nil {
 		return nil, err
 	}
 	g := &Gateway{
-		cfg: cfg, actions: act, retryAfterHint: cfg.RetryAfterHint(),
+		cfg: cfg, actions: actions, retryAfterHint: cfg.RetryAfterHint(),
 		rng: rand.New(rand.NewPCG(seed, uint64(cfg.Self))),
 		now: now, startedAt: now, ceilingFillStart: now,
 		slotLength: max(cfg.MeterPeriod, 100*time.Millisecond) / slotsPerPeriod,
--- a/choice/meter.go
+++ b/choice/meter.go
@@ -96,11 +96,11 @@
 	if g.meter.known {
 		shownAt = (g.meter.earliest + g.meter.latest) / 2
 	}
-	number := int64(math.Floor(float64(g.now-shownAt) / float64(period)))
-	shownAt += time.Duration(number) * period
-	number = int64(math.Round(float64(shownAt) / float64(period)))
+	periodNumber := int64(math.Floor(float64(g.now-shownAt) / float64(period)))
+	shownAt += time.Duration(periodNumber) * period
+	periodNumber = int64(math.Round(float64(shownAt) / float64(period)))
 	c.reading, c.readingAt = reading, g.now
-	if c.hasReading && number <= c.lastPeriod {
+	if c.hasReading && periodNumber <= c.lastPeriod {
 		return
 	}
 	g.advanceSlots(c)
@@ -114,8 +114,8 @@
 	if p.Rate > 0 && g.meter.known && c.hasReading {
 		g.learnLag(c, use, shownAt)
 	}
-	end := shownAt - time.Duration(g.meter.lagSlots)*g.slotLength
-	gap, weight, overuse := int64(1), 1.0, 0.0
+	periodEnd := shownAt - time.Duration(g.meter.lagSlots)*g.slotLength
+	elapsedPeriods, weight, overuse := int64(1), 1.0, 0.0
 	if p.Rate > 0 {
 		weight = quota / (quota + meterPriorUnits)
 	}
@@ -128,24 +128,24 @@
 		c.tokens = p.Burst * (1 - initialDrawnShare*overuse)
 	}
 	if c.hasReading {
-		gap = min(number-c.lastPeriod, historySlots/slotsPerPeriod)
-		weight = 1 - math.Exp(-float64(gap)/windowPeriods)
+		elapsedPeriods = min(periodNumber-c.lastPeriod, historySlots/slotsPerPeriod)
+		weight = 1 - math.Exp(-float64(elapsedPeriods)/windowPeriods)
 	}
-	for k := gap - 1; k > 0; k-- { // periods of which no reading was received
-		own := g.sumSlots(c, end-time.Duration(k+1)*period, end-time.Duration(k)*period).admitted
+	for k := elapsedPeriods - 1; k > 0; k-- { // periods of which no reading was received
+		own := g.sumSlots(c, periodEnd-time.Duration(k+1)*period, periodEnd-time.Duration(k)*period).admitted
 		c.addTokens(quota - max(own, c.meanUse))
 	}
 	c.addTokens(quota - use)
-	c.tokensAt = end
-	sum := g.sumSlots(c, end-period, end)
+	c.tokensAt = periodEnd
+	usage := g.sumSlots(c, periodEnd-period, periodEnd)
 	c.meanUse += weight * (use - c.meanUse)
-	c.meanAdmitted += weight * (sum.admitted - c.meanAdmitted)
-	c.meanOffered += weight * (sum.offered - c.meanOffered)
+	c.meanAdmitted += weight * (usage.admitted - c.meanAdmitted)
+	c.meanOffered += weight * (usage.offered - c.meanOffered)
 	c.meanAdmitProbability += weight *
-		(max(sum.meanProbability, minAdmitProbability) - c.meanAdmitProbability)
+		(max(usage.meanProbability, minAdmitProbability) - c.meanAdmitProbability)
 	c.meanAdmitProbability *= 1 - initialRejectedShare*overuse
 	c.admitProbability = c.meanAdmitProbability * quota / max(c.meanUse, minUseRatio*quota)
-	c.hasReading, c.lastPeriod = true, number
+	c.hasReading, c.lastPeriod = true, periodNumber
 }
 
 // addTokens adds the net gain of a period to the quota's bucket, within 0 and the plan's burst.
