--- a/choice/admission.go
+++ b/choice/admission.go
@@ -144,7 +144,7 @@
 	return tokens - float64(c.slots[k%historySlots].admitted)
 }
 
-// ceilingAllows tells whether this gateway's share of the ceiling's token bucket holds the units. The
+// ceilingAllows reports whether this gateway's share of the ceiling's token bucket holds the units. The
 // gateways of the set have equal shares, in rate and in size. So together they never admit more than the
 // bucket holds, whatever the meter reports, wherever the traffic goes, and also if gateways restart: a
 // gateway starts with an empty share, since its previous process may have drawn everything.
--- a/choice/api.go
+++ b/choice/api.go
@@ -56,7 +56,7 @@
 	CrossZoneCost  float64 // cost of an attempt that leaves the zone, as a fraction of a request's worth
 }
 
-// RetryAfterHint is the time after which a refused client should retry; 0: the client is told no time.
+// RetryAfterHint is the time after which a refused client should retry; 0: clients get no hint.
 func (cfg *Config) RetryAfterHint() time.Duration {
 	if !cfg.RetryAfterSupported {
 		return 0
@@ -97,7 +97,7 @@
 	return nil
 }
 
-// Effect tells whether requests of a class may be repeated.
+// Effect reports whether requests of a class may be repeated.
 type Effect int
 
 // The effects of a class.
@@ -218,7 +218,7 @@
 	Status   Status
 	Elapsed  time.Duration
 	Answered bool // the request has its final answer
-	// Metered tells that the answer reported Used: the customer's use over all gateways in the last metered
+	// Metered is set if the answer reported Used: the customer's use over all gateways in the last metered
 	// period, as a fraction of the plan's rate, or of MaxInFlight if the plan has no rate.
 	Metered bool
 	Used    float64
@@ -233,7 +233,7 @@
 	Load    Load
 }
 
-// Reason tells why a request was refused or failed. It is for logs; no decision depends on it.
+// Reason is why a request was refused or failed. It is for logs; no decision depends on it.
 type Reason int
 
 // The reasons. None means that the request was admitted, or that the attempt was sent.
@@ -269,10 +269,10 @@
 type Actions interface {
 	// Send starts the next attempt of a request, with a time limit.
 	Send(id, backend uint32, timeout time.Duration)
-	// Refuse gives the final answer that the request did not take effect and that it is safe to retry. The
-	// client should retry after the given time; 0: the gateway gives no advice.
+	// Refuse answers a request finally. The client may safely retry it, after the given time if that is not
+	// 0.
 	Refuse(id uint32, after time.Duration, reason Reason)
-	// Fail gives the final answer that the request failed and may have taken effect.
+	// Fail answers a request finally; it may have taken effect, and a retry may not be safe.
 	Fail(id uint32, reason Reason)
 	// Cancel stops waiting for an attempt.
 	Cancel(id uint32, attempt int)
--- a/choice/attempts.go
+++ b/choice/attempts.go
@@ -95,7 +95,8 @@
 	}
 }
 
-// Outcome handles the result of an attempt: it retries the request or gives its final answer.
+// Outcome handles the result of an attempt. A request that has no answer and no other attempt in flight is
+// retried or gets its final answer.
 func (g *Gateway) Outcome(now time.Duration, o Outcome) {
 	g.advance(now)
 	r := g.requests[o.ID]
--- a/choice/choice.go
+++ b/choice/choice.go
@@ -1,7 +1,7 @@
 package choice
 
-// The state of a gateway. The decisions are in files of their own, in the order in which a request meets
-// them: customers.go, admission.go, meter.go, pressure.go (the concurrency limit), selection.go, health.go
+// The state of a gateway. The decisions are in files of their own, in the order in which they apply to a
+// request: customers.go, admission.go, meter.go, pressure.go (the concurrency limit), selection.go, health.go
 // and attempts.go. The sets of backends are in membership.go, the parameters in settings.go, and the public
 // types and interfaces in api.go. docs/design.md describes the algorithms and their sources.
 
@@ -63,7 +63,7 @@
 // meterClock estimates when the meter goes over to the reading of the next period, and how long that period
 // had then been over.
 type meterClock struct {
-	earliest, latest time.Duration // a change fell between these times, and others whole periods from it
+	earliest, latest time.Duration // bounds of the time of a change; changes repeat every period
 	known            bool          // a change has been observed
 	readings         int
 	lagSlots         int // slots from the end of a period to its first reading
@@ -191,11 +191,11 @@
 	return g, nil
 }
 
-// partialViewFactor tells how small a part of all traffic each of the gateways sees: 0 up to
-// smallTierGateways, and towards 1 as their number grows.
+// partialViewFactor returns how partial each gateway's view of the traffic is: 0 up to smallTierGateways, and
+// towards 1 as the number of gateways grows.
 func partialViewFactor(gateways float64) float64 { return max(0, 1-smallTierGateways/gateways) }
 
-// overuseAllowance tells how far a plan permits use beyond the quota at no cost, from 0 to 1.
+// overuseAllowance returns how far a plan permits use beyond the quota at no cost, from 0 to 1.
 func (p *Plan) overuseAllowance() float64 { return 1 - min(1, max(0, p.OveruseCost)) }
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/choice/health.go
+++ b/choice/health.go
@@ -4,7 +4,7 @@
 
 import "time"
 
-// unresponsive tells whether a backend has attempts in flight and has not answered for some time.
+// unresponsive reports whether a backend has attempts in flight and has not answered for some time.
 func (g *Gateway) unresponsive(b *backend) bool {
 	return b.inFlight > 0 && (g.now-b.waitingSince).Seconds() > unresponsiveAims*g.maxAim.Seconds()
 }
@@ -47,8 +47,8 @@
 	return nil, true
 }
 
-// withinColdLimit tells whether b may have another attempt in flight: a cold backend may have the mean of the
-// warm ones times its capacity fraction, and always one.
+// withinColdLimit reports whether b may have another attempt in flight: a cold backend may have the mean of
+// the warm ones times its capacity fraction, and always one.
 func (g *Gateway) withinColdLimit(b *backend) bool {
 	if !g.cold.contains(b) || b.inFlight == 0 {
 		return true
--- a/choice/pressure.go
+++ b/choice/pressure.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// exceedsLimit tells whether a request would exceed the part of the concurrency limit that is open to its
+// exceedsLimit reports whether a request would exceed the part of the concurrency limit that is open to its
 // class and admission probability. Fractions of the limit are rounded at random.
 func (g *Gateway) exceedsLimit(r *request, probability float64) bool {
 	maxWorthRate := 0.0
--- a/choice/selection.go
+++ b/choice/selection.go
@@ -83,7 +83,7 @@
 	return g.reusable.members[g.rng.IntN(n)]
 }
 
-// hasReusableConn tells whether a connection of this gateway to b has carried an answer and is free. After
+// hasReusableConn reports whether a connection of this gateway to b has carried an answer and is free. After
 // half of the idle timeout it no longer counts: the timeout is an upper bound, and the backend may close the
 // connection earlier.
 func (g *Gateway) hasReusableConn(b *backend) bool {
@@ -99,7 +99,7 @@
 	return 1
 }
 
-// effectAllows tells whether the effect of r's class allows an attempt at b now.
+// effectAllows reports whether the effect of r's class allows an attempt at b now.
 func (g *Gateway) effectAllows(r *request, b *backend) bool {
 	first := r.firstPossibleRun()
 	if first == nil {
--- a/choice/settings.go
+++ b/choice/settings.go
@@ -56,8 +56,8 @@
 	failureRateWeight  = 0.15 // EWMA weight of one outcome in a failure rate
 	ejectionThreshold  = 0.5  // failure rate above which a backend is ejected
 	maxEjectedShare    = 0.4  // share of the ready backends that may be ejected at once
-	ejectionPeriodAims = 8.0  // longest aims that an ejection lasts
-	unresponsiveAims   = 0.4  // longest aims without an answer, with attempts in flight: unresponsive
+	ejectionPeriodAims = 8.0  // longest aims: the duration of an ejection
+	unresponsiveAims   = 0.4  // longest aims with attempts in flight and no answer: unresponsive
 
 	// Retries and hedged requests.
 
@@ -67,7 +67,7 @@
 
 	// Latency of backends.
 
-	latencyWindowAims    = 5.0  // longest aims over which a backend's latency is averaged
+	latencyWindowAims    = 5.0  // longest aims over which latency is averaged, however few the answers
 	minLatencyWeight     = 0.05 // lower bound of an answer's EWMA weight in it
 	timeoutLatencyWeight = 4.0  // a time-out weighs as many answers
 	maxRelativeLatency   = 8.0  // class means: upper bound of one sample
@@ -92,7 +92,7 @@
 
 	minPickSamples            = 3    // lower bound of the samples for one attempt
 	tierPickSamplesPerBackend = 3    // samples for each backend when all gateways choose at one time
-	minReusableGateways       = 15.0 // gateways that reuse connections to a backend, for a load even to 1/4
+	minReusableGateways       = 15.0 // gateways that reuse connections to one backend: even to a quarter
 	ownInFlightWeight         = 1.5  // cost of one attempt of this gateway in flight at the backend
 	otherInFlightWeight       = 0.5  // cost of one request of other gateways in the backend's report
 	minCostLatency            = 0.5  // class means: lower bound of a backend's latency in its cost
@@ -106,5 +106,5 @@
 	probesPerRequest = 0.3 // probes that one first attempt earns
 	maxReportAgeAims = 3.0 // longest aims after which a report counts in the mean of all backends alone
 
-	retryAfterDivisor = 5 // the advice is Config.MaxRetryAfter, the longest that clients follow, over this
+	retryAfterDivisor = 5 // Config.RetryAfterHint is Config.MaxRetryAfter divided by this
 )
--- a/choice/stopping.go
+++ b/choice/stopping.go
@@ -34,8 +34,8 @@
 	}
 }
 
-// stopsBeforeAim tells whether the end of the process leaves a request less time than its aim. Such a request
-// is refused, since another gateway can give it its full time.
+// stopsBeforeAim reports whether the end of the process leaves a request less time than its aim. Such a
+// request is refused, since another gateway can give it its full time.
 func (g *Gateway) stopsBeforeAim(r *request) bool {
 	return r.limitedByStop && r.deadline-g.now < g.cfg.Classes[r.Class].Aim
 }
