--- a/choice/health.go
+++ b/choice/health.go
@@ -1,82 +1,89 @@
 package choice
 
-// Health and cold start of backends.
+// Health and warm-up of backends.
 
 import "time"
 
-// silent tells of a backend that takes attempts and answers none.
-func (g *Gateway) silent(b *backend) bool {
-	return b.out > 0 && (g.now-b.waiting).Seconds() > silentAims*g.longest.Seconds()
+// unresponsive reports whether a backend has attempts in flight and has not answered for some time.
+func (g *Gateway) unresponsive(b *backend) bool {
+	return b.inFlight > 0 && (g.now-b.waitingSince).Seconds() > unresponsiveAims*g.maxAim.Seconds()
 }
 
-// warmth is the least part of its capacity that a backend can have now.
-func (g *Gateway) warmth(b *backend) float64 {
+// capacityFraction returns the lower bound of a backend's present capacity, as a fraction of its full one. It
+// rises linearly during the warm-up.
+func (g *Gateway) capacityFraction(b *backend) float64 {
 	age := g.now - b.Started
 	if !b.StartKnown || g.cfg.WarmUpPeriod <= 0 || age >= g.cfg.WarmUpPeriod {
 		return 1
 	}
-	from := max(g.cfg.InitialCapacity, 0.02)
-	return from + (1-from)*max(0, age.Seconds())/g.cfg.WarmUpPeriod.Seconds()
+	initial := max(g.cfg.InitialCapacity, 0.02)
+	return initial + (1-initial)*max(0, age.Seconds())/g.cfg.WarmUpPeriod.Seconds()
 }
 
-// coldTurn returns the cold backend whose turn it is, or nil for a warm one's, and whether there are turns.
-// It is left to chance, by least capacities: a cold backend falls under the sum of what all gateways send,
-// and each of them may find it the cheapest at the same moment, of a slow fleet above all. So that sum is its
-// part of all requests, however many gateways there are: no more than its capacity, of which the settings
-// allow a multiple, as long as the warm ones keep up with theirs. With no warm one there is nothing to
-// measure by.
-func (g *Gateway) coldTurn() (one *backend, turns bool) {
-	g.warmUp()
-	if n := g.cold.size(); n == 0 || n == g.fleet.size() || g.cfg.Gateways <= fewGateways {
+// pickCold decides whether an attempt goes to a cold backend: it returns that backend, or nil for a warm one,
+// and whether the attempt must not go to any other cold backend.
+//
+// A cold backend is overloaded by the sum of what all gateways send, and each of them may find it the
+// cheapest at the same moment, above all if the other backends are slow. So each cold backend is drawn at
+// random, in proportion to the lower bounds of the capacities. However many gateways there are, their sum is
+// then the backend's share of all requests, which is within its capacity as long as the warm backends keep up
+// with theirs; the configuration permits a multiple of that capacity. If all backends are cold, there is no
+// warm one to compare with, and the share is not limited.
+func (g *Gateway) pickCold() (picked *backend, limitCold bool) {
+	g.updateCold()
+	if n := g.cold.size(); n == 0 || n == g.ready.size() || g.cfg.Gateways <= smallTierGateways {
 		return nil, false
 	}
-	sum := g.sizes
+	sum := g.readyWeight
 	for _, b := range g.cold.members {
-		sum -= g.size(b) * (1 - g.warmth(b))
+		sum -= g.capacityWeight(b) * (1 - g.capacityFraction(b))
 	}
-	at := g.rng.Float64() * sum
+	target := g.rng.Float64() * sum
 	for _, b := range g.cold.members {
-		if at -= g.size(b) * g.warmth(b); at < 0 {
+		if target -= g.capacityWeight(b) * g.capacityFraction(b); target < 0 {
 			return b, true
 		}
 	}
 	return nil, true
 }
 
-// coldRoom keeps the work out at a cold backend in step with what a warm one holds.
-func (g *Gateway) coldRoom(b *backend) bool {
-	if !g.cold.has(b) || b.out == 0 {
+// withinColdLimit reports whether b may have another attempt in flight: a cold backend may have the mean of
+// the warm ones times its capacity fraction, and always one.
+func (g *Gateway) withinColdLimit(b *backend) bool {
+	if !g.cold.contains(b) || b.inFlight == 0 {
 		return true
 	}
-	out, warm := g.fleetOut-g.coldOut, g.fleet.size()-g.cold.size()
-	return warm > 0 && float64(b.out+1) <= g.warmth(b)*float64(out)/float64(warm)
+	warmInFlight, warm := g.readyInFlight-g.coldInFlight, g.ready.size()-g.cold.size()
+	return warm > 0 && float64(b.inFlight+1) <= g.capacityFraction(b)*float64(warmInFlight)/float64(warm)
 }
 
-// judge ejects a backend that fails far more than the fleet does.
-func (g *Gateway) judge(b *backend, failed bool, weight float64) {
-	v := 0.0
+// recordResult updates the failure rates of a backend and of its zone, and ejects the backend if its rate is
+// too high. The period of an ejection is randomized by up to a fifth.
+func (g *Gateway) recordResult(b *backend, failed bool, weight float64) {
+	sample := 0.0
 	if failed {
-		v = 1
+		sample = 1
 	}
-	b.fails += max(failAverage, weight) * (v - b.fails)
-	g.zones[b.Zone] += failAverage * (v - g.zones[b.Zone])
+	b.failureRate += max(failureRateWeight, weight) * (sample - b.failureRate)
+	g.zoneFailureRates[b.Zone] += failureRateWeight * (sample - g.zoneFailureRates[b.Zone])
 	if !failed {
 		return
 	}
 	g.expireEjections()
-	if g.now >= b.until && b.fails > ejectOver && float64(g.ejected+1) <= ejectMost*float64(g.fleet.size()) {
-		span := ejectAims * g.longest.Seconds()
-		g.eject(b, g.now+seconds(span*(0.8+0.4*g.rng.Float64())))
-		b.fails = 0
+	if g.now >= b.ejectedUntil && b.failureRate > ejectionThreshold &&
+		float64(g.ejectedCount+1) <= maxEjectedShare*float64(g.ready.size()) {
+		period := ejectionPeriodAims * g.maxAim.Seconds()
+		g.eject(b, g.now+seconds(period*(0.8+0.4*g.rng.Float64())))
+		b.failureRate = 0
 	}
 }
 
-// ProbeResult takes the answer to a probe.
+// ProbeResult handles the result of a probe.
 func (g *Gateway) ProbeResult(now time.Duration, p ProbeResult) {
-	g.step(now)
+	g.advance(now)
 	b := g.backends[p.Backend]
-	if b != nil && p.Status == OK && g.inflight >= 0 && g.inflight < p.Load.Count {
-		b.others, b.reported = max(0, p.Load.Values[g.inflight]-float64(b.out)), now
-		g.held += latLeast * (b.others - g.held)
+	if b != nil && p.Status == OK && g.inFlightIndex >= 0 && g.inFlightIndex < p.Load.Count {
+		b.otherInFlight, b.reportedAt = max(0, p.Load.Values[g.inFlightIndex]-float64(b.inFlight)), now
+		g.meanOtherInFlight += minLatencyWeight * (b.otherInFlight - g.meanOtherInFlight)
 	}
 }
--- a/choice/meter.go
+++ b/choice/meter.go
@@ -1,145 +1,152 @@
 package choice
 
-// The meter: what late readings, and the gateway's own history, tell of a customer's use over all gateways.
+// The meter: estimates a customer's use over all gateways from delayed readings and this gateway's history.
 
 import (
 	"math"
 	"time"
 )
 
-// slotOf numbers the slots of own history; all that is asked for are above 0.
-func (g *Gateway) slotOf(t time.Duration) int64 { return int64((t - g.born + 1<<20*g.slot) / g.slot) }
+// slotNumber returns the number of the history slot at a time. It is positive for all times in use.
+func (g *Gateway) slotNumber(t time.Duration) int64 {
+	return int64((t - g.startedAt + 1<<20*g.slotLength) / g.slotLength)
+}
 
-// roll opens the slots up to now.
-func (g *Gateway) roll(c *customer) {
-	n := g.slotOf(g.now)
-	if n-c.head > slotsKept {
-		c.head = n - slotsKept
+// advanceSlots starts new slots up to the current time.
+func (g *Gateway) advanceSlots(c *customer) {
+	n := g.slotNumber(g.now)
+	if n-c.newestSlot > historySlots {
+		c.newestSlot = n - historySlots
 	}
-	for c.head < n {
-		c.head++
-		c.slots[c.head%slotsKept] = slotUse{chance: float32(g.clear * min(1, c.chance)), met: 1}
+	for c.newestSlot < n {
+		c.newestSlot++
+		c.slots[c.newestSlot%historySlots] = slotUsage{
+			probabilitySum: float32(g.limitPassRate * min(1, c.admitProbability)), probabilityCount: 1}
 	}
 }
 
-// window adds up own history between two times, by whole slots.
-func (g *Gateway) window(c *customer, from, to time.Duration) (sum useSum) {
-	lo := min(max(g.slotOf(from), c.head-slotsKept+1), c.head)
+// sumSlots adds up the history between two times, in whole slots.
+func (g *Gateway) sumSlots(c *customer, from, to time.Duration) (sum usageTotals) {
+	first := min(max(g.slotNumber(from), c.newestSlot-historySlots+1), c.newestSlot)
 	n := 0.0
-	for k := lo; k < min(g.slotOf(to), c.head+1); k++ {
-		s := &c.slots[k%slotsKept]
+	for k := first; k < min(g.slotNumber(to), c.newestSlot+1); k++ {
+		s := &c.slots[k%historySlots]
 		sum.offered += float64(s.offered)
-		sum.passed += float64(s.passed)
-		sum.chance += float64(s.chance / s.met)
+		sum.admitted += float64(s.admitted)
+		sum.meanProbability += float64(s.probabilitySum / s.probabilityCount)
 		n++
 	}
 	if n > 0 {
-		sum.chance /= n
+		sum.meanProbability /= n
 	} else {
-		s := &c.slots[lo%slotsKept]
-		sum.chance = float64(s.chance / s.met)
+		s := &c.slots[first%historySlots]
+		sum.meanProbability = float64(s.probabilitySum / s.probabilityCount)
 	}
 	return
 }
 
-// change narrows down when the shown period changes, from two answers with different readings.
-func (m *meterClock) change(from, to, period time.Duration) {
+// observeChange narrows the estimate of when readings change. The reading changed between the two times.
+func (m *meterClock) observeChange(from, to, period time.Duration) {
 	if !m.known {
-		m.known, m.lo, m.hi = true, from, to
+		m.known, m.earliest, m.latest = true, from, to
 		return
 	}
-	shift := ((from+to)/2 - (m.lo+m.hi)/2 + period/2)
+	shift := ((from+to)/2 - (m.earliest+m.latest)/2 + period/2)
 	shift -= ((shift % period) + period) % period
-	lo, hi := max(m.lo+shift, from), min(m.hi+shift, to)
-	if lo >= hi {
-		lo, hi = from, to
+	earliest, latest := max(m.earliest+shift, from), min(m.latest+shift, to)
+	if earliest >= latest {
+		earliest, latest = from, to
 	}
-	m.lo, m.hi = lo, hi
+	m.earliest, m.latest = earliest, latest
 }
 
-// fit learns the lag: the right one makes own use fit best into the readings.
-func (g *Gateway) fit(c *customer, use float64, shown time.Duration) {
+// learnLag estimates the lag of readings: the one for which this gateway's own use fits the readings best.
+func (g *Gateway) learnLag(c *customer, use float64, shownAt time.Duration) {
 	m := &g.meter
 	m.readings++
-	w := 1 / float64(min(m.readings, lagReadings))
-	top, best := g.slotOf(shown), 0
-	for j := range m.misfit {
+	weight := 1 / float64(min(m.readings, lagWindowReadings))
+	shownSlot, best := g.slotNumber(shownAt), 0
+	for lag := range m.lagErrors {
 		own := 0.0
-		for k := max(top-int64(j)-slotsPeriod, c.head-slotsKept+1); k < min(top-int64(j), c.head+1); k++ {
-			own += float64(c.slots[k%slotsKept].passed)
+		for k := max(shownSlot-int64(lag)-slotsPerPeriod,
+			c.newestSlot-historySlots+1); k < min(shownSlot-int64(lag), c.newestSlot+1); k++ {
+			own += float64(c.slots[k%historySlots].admitted)
 		}
-		m.misfit[j] += w * ((use-own)*(use-own)/(use+1) - m.misfit[j])
-		if m.misfit[j] < m.misfit[best] {
-			best = j
+		m.lagErrors[lag] += weight * ((use-own)*(use-own)/(use+1) - m.lagErrors[lag])
+		if m.lagErrors[lag] < m.lagErrors[best] {
+			best = lag
 		}
 	}
-	if m.readings > lagReadings/4 {
-		m.lag = best
+	if m.readings > lagWindowReadings/4 {
+		m.lagSlots = best
 	}
 }
 
-// metered takes a reading that came with an answer. Answers repeat a period's reading; the clock of the meter
-// tells which period it is, and each counts once.
-func (g *Gateway) metered(c *customer, used float64) {
+// applyReading updates the customer's record with a reading that came with an answer. All answers of a period
+// repeat its reading; the meter clock tells which period a reading belongs to, and each period counts once.
+func (g *Gateway) applyReading(c *customer, reading float64) {
 	period := g.cfg.MeterPeriod
-	if period <= 0 || !(used >= 0) || math.IsInf(used, 1) {
+	if period <= 0 || !(reading >= 0) || math.IsInf(reading, 1) {
 		return
 	}
-	if c.measured && used != c.reading && g.now-c.heard < period {
-		g.meter.change(c.heard, g.now, period)
+	if c.hasReading && reading != c.reading && g.now-c.readingAt < period {
+		g.meter.observeChange(c.readingAt, g.now, period)
 	}
-	shown := g.now
+	shownAt := g.now
 	if g.meter.known {
-		shown = (g.meter.lo + g.meter.hi) / 2
+		shownAt = (g.meter.earliest + g.meter.latest) / 2
 	}
-	number := int64(math.Floor(float64(g.now-shown) / float64(period)))
-	shown += time.Duration(number) * period
-	number = int64(math.Round(float64(shown) / float64(period)))
-	c.reading, c.heard = used, g.now
-	if c.measured && number <= c.period {
+	periodNumber := int64(math.Floor(float64(g.now-shownAt) / float64(period)))
+	shownAt += time.Duration(periodNumber) * period
+	periodNumber = int64(math.Round(float64(shownAt) / float64(period)))
+	c.reading, c.readingAt = reading, g.now
+	if c.hasReading && periodNumber <= c.lastPeriod {
 		return
 	}
-	g.roll(c)
+	g.advanceSlots(c)
 	p := c.plan
-	quota, tau := 1.0, smoothOpen
+	quota, windowPeriods := 1.0, inFlightWindowPeriods
 	if p.Rate > 0 {
 		quota = p.Rate * period.Seconds()
-		tau = max(smoothLeast, smoothUnits/quota)
+		windowPeriods = max(minRateWindowPeriods, rateWindowUnits/quota)
 	}
-	use := used * quota
-	if p.Rate > 0 && g.meter.known && c.measured {
-		g.fit(c, use, shown)
+	use := reading * quota
+	if p.Rate > 0 && g.meter.known && c.hasReading {
+		g.learnLag(c, use, shownAt)
 	}
-	end := shown - time.Duration(g.meter.lag)*g.slot
-	gap, w, held := int64(1), 1.0, 0.0
+	periodEnd := shownAt - time.Duration(g.meter.lagSlots)*g.slotLength
+	elapsedPeriods, weight, overuse := int64(1), 1.0, 0.0
 	if p.Rate > 0 {
-		w = quota / (quota + startUnits)
-	}
-	if p.Rate > 0 && !c.measured {
-		// The other gateways of its set have heard this customer sooner and hold his use near the quota: a
-		// first reading near or beyond it tells of one who asks for more, and whose store is spent.
-		held = many(c.spread) * min(1, max(0, (used-startOver)/(1-startOver)))
-		c.store = p.Burst * (1 - startDrawn*held)
-	}
-	if c.measured {
-		gap = min(number-c.period, slotsKept/slotsPeriod)
-		w = 1 - math.Exp(-float64(gap)/tau)
-	}
-	for k := gap - 1; k > 0; k-- { // periods whose readings were never heard
-		own := g.window(c, end-time.Duration(k+1)*period, end-time.Duration(k)*period).passed
-		c.fill(quota - max(own, c.mean))
-	}
-	c.fill(quota - use)
-	c.storeAt = end
-	sum := g.window(c, end-period, end)
-	c.mean += w * (use - c.mean)
-	c.own += w * (sum.passed - c.own)
-	c.asked += w * (sum.offered - c.asked)
-	c.applied += w * (max(sum.chance, leastChance) - c.applied)
-	c.applied *= 1 - startHeld*held
-	c.chance = c.applied * quota / max(c.mean, calmUse*quota)
-	c.measured, c.period = true, number
+		weight = quota / (quota + meterPriorUnits)
+	}
+	if p.Rate > 0 && !c.hasReading {
+		// Other gateways of the set have had readings of this customer earlier and hold its use near the
+		// quota. A first reading near or above the quota thus indicates that the customer asks for more, and
+		// that its token bucket is drawn.
+		overuse = partialViewFactor(c.setSize) *
+			min(1, max(0, (reading-initialOveruseFloor)/(1-initialOveruseFloor)))
+		c.tokens = p.Burst * (1 - initialDrawnShare*overuse)
+	}
+	if c.hasReading {
+		elapsedPeriods = min(periodNumber-c.lastPeriod, historySlots/slotsPerPeriod)
+		weight = 1 - math.Exp(-float64(elapsedPeriods)/windowPeriods)
+	}
+	for k := elapsedPeriods - 1; k > 0; k-- { // periods of which no reading was received
+		own := g.sumSlots(c, periodEnd-time.Duration(k+1)*period, periodEnd-time.Duration(k)*period).admitted
+		c.addTokens(quota - max(own, c.meanUse))
+	}
+	c.addTokens(quota - use)
+	c.tokensAt = periodEnd
+	usage := g.sumSlots(c, periodEnd-period, periodEnd)
+	c.meanUse += weight * (use - c.meanUse)
+	c.meanAdmitted += weight * (usage.admitted - c.meanAdmitted)
+	c.meanOffered += weight * (usage.offered - c.meanOffered)
+	c.meanAdmitProbability += weight *
+		(max(usage.meanProbability, minAdmitProbability) - c.meanAdmitProbability)
+	c.meanAdmitProbability *= 1 - initialRejectedShare*overuse
+	c.admitProbability = c.meanAdmitProbability * quota / max(c.meanUse, minUseRatio*quota)
+	c.hasReading, c.lastPeriod = true, periodNumber
 }
 
-// fill moves the store by a period's gain, never below nothing nor above the burst.
-func (c *customer) fill(units float64) { c.store = min(max(c.store+units, 0), c.plan.Burst) }
+// addTokens adds the net gain of a period to the quota's bucket, within 0 and the plan's burst.
+func (c *customer) addTokens(units float64) { c.tokens = min(max(c.tokens+units, 0), c.plan.Burst) }
--- a/choice/selection.go
+++ b/choice/selection.go
@@ -1,113 +1,119 @@
 package choice
 
-// Selection: the backend that a further attempt goes to.
+// Selection of the backend for an attempt.
 
 import (
 	"math"
 	"slices"
 )
 
-// pick returns a backend for a further attempt of r, or nil: the best of a few taken by chance. Own attempts
-// out tell less of a backend's work the more gateways there are, which would all pick the same best one. It
-// guards against herding of any cause, on a report, a size or a zone. Among few gateways it wastes knowledge.
-func (g *Gateway) pick(r *request) *backend {
+// pickBackend returns a backend for the next attempt of r, or nil: the one of lowest cost among a few random
+// ones (power of k choices). Sampling prevents herding: with many gateways, this gateway's attempts in flight
+// tell little of a backend's load, and all gateways would choose the same best one by a report, a weight or a
+// zone. A known weakness: among few gateways, sampling ignores information that they have.
+func (g *Gateway) pickBackend(r *request) *backend {
 	var best *backend
-	cost := math.Inf(1)
-	cold, turns := g.coldTurn()
-	try := func(b *backend, healthy bool) {
-		if turns && b != cold && g.cold.has(b) {
+	bestCost := math.Inf(1)
+	cold, limitCold := g.pickCold()
+	consider := func(b *backend, healthyOnly bool) {
+		if limitCold && b != cold && g.cold.contains(b) {
 			return
 		}
-		unhealthy := g.now < b.until || g.silent(b) ||
-			slices.ContainsFunc(r.attempts, func(a attempt) bool { return a.to == b })
-		if g.allowed(r, b) && g.coldRoom(b) && !(healthy && unhealthy) {
-			if c := g.cost(r, b); c < cost {
-				best, cost = b, c
+		unhealthy := g.now < b.ejectedUntil || g.unresponsive(b) ||
+			slices.ContainsFunc(r.attempts, func(a attempt) bool { return a.backend == b })
+		if g.effectAllows(r, b) && g.withinColdLimit(b) && !(healthyOnly && unhealthy) {
+			if cost := g.cost(r, b); cost < bestCost {
+				best, bestCost = b, cost
 			}
 		}
 	}
 	if cold != nil {
-		if try(cold, true); best != nil {
+		if consider(cold, true); best != nil {
 			return best
 		}
 	}
-	n := g.fleet.size()
-	if few := max(pickLeast, pickFleets*n/g.cfg.Gateways); few < n {
-		for range few {
-			try(g.fleet.members[g.rng.IntN(n)], true)
+	n := g.ready.size()
+	if samples := max(minPickSamples, tierPickSamplesPerBackend*n/g.cfg.Gateways); samples < n {
+		for range samples {
+			consider(g.ready.members[g.rng.IntN(n)], true)
 		}
-		if b := g.reusableOne(); b != nil {
-			try(b, true)
+		if b := g.randomReusable(); b != nil {
+			consider(b, true)
 		}
 	}
-	for healthy := true; best == nil; healthy = false {
-		for _, b := range g.fleet.members {
-			try(b, healthy)
+	for healthyOnly := true; best == nil; healthyOnly = false {
+		for _, b := range g.ready.members {
+			consider(b, healthyOnly)
 		}
-		if !healthy {
+		if !healthyOnly {
 			break
 		}
 	}
 	return best
 }
 
-// cost weighs a backend by work held for its size, latency, distance, failures and a little chance.
+// cost returns the cost of sending r to b. It grows with the requests in flight relative to the backend's
+// capacity, latency, the distance, a new connection and failures, and has a small random part.
 func (g *Gateway) cost(r *request, b *backend) float64 {
-	others := b.others
-	if (g.now - b.reported).Seconds() > probeAims*g.longest.Seconds() {
-		others = g.held
+	others := b.otherInFlight
+	if (g.now - b.reportedAt).Seconds() > maxReportAgeAims*g.maxAim.Seconds() {
+		others = g.meanOtherInFlight
 	}
-	c := (costOut*float64(b.out) + costOthers*others + 1) / (g.size(b) * g.warmth(b)) * max(b.lat, costLeast)
+	cost := (ownInFlightWeight*float64(b.inFlight) + otherInFlightWeight*others + 1) /
+		(g.capacityWeight(b) * g.capacityFraction(b)) * max(b.relativeLatency, minCostLatency)
 	if b.Zone != g.cfg.Zone {
-		c *= 1 + costZone*g.cfg.CrossZoneCost
+		cost *= 1 + crossZoneWeight*g.cfg.CrossZoneCost
 	}
-	if !g.reusable(b) {
-		c *= 1 + costShake*g.cfg.HandshakeCost
+	if !g.hasReusableConn(b) {
+		cost *= 1 + handshakeWeight*g.cfg.HandshakeCost
 	}
-	c *= 1 + costFails*(b.fails+g.zones[b.Zone])
-	return c * (1 + costChance*g.rng.Float64())
+	cost *= 1 + failureWeight*(b.failureRate+g.zoneFailureRates[b.Zone])
+	return cost * (1 + costJitterFactor*g.rng.Float64())
 }
 
-// reusableOne returns a backend with an own connection that can be used again, or nil where handshakes cost
-// nothing or there are too few yet: the fewer backends each gateway keeps to, the less even is what all of
-// them send to one backend.
-func (g *Gateway) reusableOne() *backend {
-	g.expireKept()
-	n := g.kept.size()
-	if n == 0 || float64(n*g.cfg.Gateways) < keptGateways*float64(g.fleet.size()) {
+// randomReusable returns a random backend with a reusable connection, or nil. It returns nil if handshakes
+// cost nothing, and if there are too few such backends: the fewer backends each gateway prefers, the less
+// even is the sum of all gateways' requests at one backend.
+func (g *Gateway) randomReusable() *backend {
+	g.expireReusable()
+	n := g.reusable.size()
+	if n == 0 || float64(n*g.cfg.Gateways) < minReusableGateways*float64(g.ready.size()) {
 		return nil
 	}
-	return g.kept.members[g.rng.IntN(n)]
+	return g.reusable.members[g.rng.IntN(n)]
 }
 
-// reusable tells whether an own connection to b has carried an answer and is free.
-func (g *Gateway) reusable(b *backend) bool {
-	return b.kept > 0 && (g.cfg.ConnIdleTimeout <= 0 || g.now-b.heard <= g.cfg.ConnIdleTimeout/2)
+// hasReusableConn reports whether a connection of this gateway to b has carried an answer and is free. After
+// half of the idle timeout it no longer counts: the timeout is an upper bound, and the backend may close the
+// connection earlier.
+func (g *Gateway) hasReusableConn(b *backend) bool {
+	return b.reusableConns > 0 &&
+		(g.cfg.ConnIdleTimeout <= 0 || g.now-b.lastOutcome <= g.cfg.ConnIdleTimeout/2)
 }
 
-// size is what the settings let one know of a backend's size.
-func (g *Gateway) size(b *backend) float64 {
+// capacityWeight returns the backend's registered capacity if weights are trusted, otherwise 1.
+func (g *Gateway) capacityWeight(b *backend) float64 {
 	if g.cfg.WeightsTrusted && b.Weight > 0 {
 		return b.Weight
 	}
 	return 1
 }
 
-// allowed tells whether the rule of effects lets r go to b now.
-func (g *Gateway) allowed(r *request, b *backend) bool {
-	a := r.first()
-	if a == nil {
+// effectAllows reports whether the effect of r's class allows an attempt at b now.
+func (g *Gateway) effectAllows(r *request, b *backend) bool {
+	first := r.firstPossibleRun()
+	if first == nil {
 		return true
 	}
-	cl := &g.cfg.Classes[r.Class]
-	switch cl.Effect {
+	class := &g.cfg.Classes[r.Class]
+	switch class.Effect {
 	case SingleShot:
 		return false
 	case Guarded:
-		// The repeat may have to wait for its connection, and has to begin within the window.
-		return g.now-a.sent+g.cfg.ConnectTimeout < cl.DedupWindow && (cl.Group == GroupAll ||
-			cl.Group == GroupZone && b.Zone == a.to.Zone ||
-			cl.Group == GroupCell && b.Cell == a.to.Cell)
+		// The repeat may have to wait for a connection, and has to start within the deduplication window.
+		return g.now-first.sentAt+g.cfg.ConnectTimeout < class.DedupWindow && (class.Group == GroupAll ||
+			class.Group == GroupZone && b.Zone == first.backend.Zone ||
+			class.Group == GroupCell && b.Cell == first.backend.Cell)
 	}
 	return true
 }
--- a/choice/stopping.go
+++ b/choice/stopping.go
@@ -1,7 +1,7 @@
 package choice
 
-// Stopping: a gateway whose process is told to end gives every request its final answer by a time that it is
-// told, whatever the clients' own times are.
+// Graceful stop: once the process is asked to end, each request has its final answer by a given time, even if
+// its client would wait longer.
 
 import (
 	"maps"
@@ -10,45 +10,46 @@
 	"time"
 )
 
-// stopToken is the token of the timer that answers what is open at the end. Those of requests are smaller.
-const stopToken = math.MaxUint64
+// stopTimerToken is the token of the timer that answers all open requests. Tokens of requests are smaller.
+const stopTimerToken = math.MaxUint64
 
-// Stop tells that the process ends: each request, those to come too, has its final answer by the time given.
+// Stop announces the end of the process. Each open and each later request gets its final answer by answerBy.
+// If Stop is called again, the earliest time applies.
 func (g *Gateway) Stop(now, answerBy time.Duration) {
-	g.step(now)
-	if g.stopping && g.answerBy <= answerBy {
+	g.advance(now)
+	if g.stopping && g.answerDeadline <= answerBy {
 		return
 	}
-	g.stopping, g.answerBy = true, answerBy
+	g.stopping, g.answerDeadline = true, answerBy
 	for _, r := range g.requests {
-		g.cut(r)
+		g.applyStopDeadline(r)
 	}
-	g.act.SetTimer(max(0, answerBy-now), stopToken)
+	g.actions.SetTimer(max(0, answerBy-now), stopTimerToken)
 }
 
-// cut bounds a request's time by the end of the process.
-func (g *Gateway) cut(r *request) {
-	if g.stopping && r.deadline > g.answerBy {
-		r.deadline, r.cut = g.answerBy, true
+// applyStopDeadline limits a request's deadline to the end of the process.
+func (g *Gateway) applyStopDeadline(r *request) {
+	if g.stopping && r.deadline > g.answerDeadline {
+		r.deadline, r.limitedByStop = g.answerDeadline, true
 	}
 }
 
-// tooLate tells of a request that the end of the process leaves too little of its time: less than its aim.
-// Another gateway has all of it.
-func (g *Gateway) tooLate(r *request) bool {
-	return r.cut && r.deadline-g.now < g.cfg.Classes[r.Class].Aim
+// stopsBeforeAim reports whether the end of the process leaves a request less time than its aim. Such a
+// request is refused, since another gateway can give it its full time.
+func (g *Gateway) stopsBeforeAim(r *request) bool {
+	return r.limitedByStop && r.deadline-g.now < g.cfg.Classes[r.Class].Aim
 }
 
-// answerAll gives what is still open its final answer.
+// answerAll gives all open requests their final answers, in the order of their ids.
 func (g *Gateway) answerAll() {
-	if g.now < g.answerBy {
-		g.act.SetTimer(g.answerBy-g.now, stopToken)
+	if g.now < g.answerDeadline {
+		g.actions.SetTimer(g.answerDeadline-g.now, stopTimerToken)
 		return
 	}
 	for _, id := range slices.Sorted(maps.Keys(g.requests)) {
-		if r := g.requests[id]; !r.over {
-			g.conclude(r, Stopping)
-			g.cancelRest(r)
+		if r := g.requests[id]; !r.answered {
+			g.answer(r, Stopping)
+			g.cancelAttempts(r)
 		}
 	}
 }
