--- a/internal/ingress/attempt.go
+++ b/internal/ingress/attempt.go
@@ -17,22 +17,22 @@
 	pool     *pool
 	request  *request
 	number   int
-	to       *backend
+	backend  *backend
 	started  time.Time
 	deadline time.Time
 
-	repeatable bool // may run twice
-	fresh      bool // on a connection of its own, which is not kept
-	kept       bool // on one that was kept
+	repeatable    bool // may run twice
+	dedicatedConn bool // on a connection of its own, which is not kept
+	reusedConn    bool // on one that was kept
 
-	wrote chan struct{} // closed when the write is over
-	whole bool          // the last byte is written; valid once wrote is closed
+	writeDone    chan struct{} // closed when the write is over
+	fullyWritten bool          // the last byte is written; valid once wrote is closed
 
-	mu      sync.Mutex
-	aborted bool
-	moot    bool               // its request is over: what is not written must not go out
-	cancel  context.CancelFunc // ends its dial
-	conn    *conn              // on which it is out
+	mu              sync.Mutex
+	aborted         bool
+	requestFinished bool               // its request is over: what is not written must not go out
+	cancelDial      context.CancelFunc // ends its dial
+	conn            *conn              // on which it is out
 }
 
 // abort stops the wait. It does not block and does not end the attempt: the
@@ -42,31 +42,31 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.aborted = true
-	if a.cancel != nil {
-		a.cancel()
+	if a.cancelDial != nil {
+		a.cancelDial()
 	}
 	if a.conn != nil {
-		a.conn.nc.SetDeadline(longAgo)
+		a.conn.nc.SetDeadline(expiredDeadline)
 	}
 }
 
-// withdraw tells that the attempt's request is over. What is out stays out, for
+// cancelUnsent tells that the attempt's request is over. What is out stays out, for
 // that is the gateway's to decide; but what still waits for its connection
 // would be work that nobody waits for.
-func (a *attempt) withdraw() {
+func (a *attempt) cancelUnsent() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.moot = true
-	if a.conn == nil && a.cancel != nil {
-		a.cancel()
+	a.requestFinished = true
+	if a.conn == nil && a.cancelDial != nil {
+		a.cancelDial()
 	}
 }
 
-// unsent is the outcome of an attempt that was not written whole.
-func (a *attempt) unsent() choice.Status {
+// unsentStatus is the outcome of an attempt that was not written whole.
+func (a *attempt) unsentStatus() choice.Status {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.moot {
+	if a.requestFinished {
 		return choice.CancelledBeforeSend // it says nothing of the backend
 	}
 	return choice.ConnectFailed
@@ -79,54 +79,54 @@
 	}
 	nc, err := a.dial()
 	if err != nil {
-		a.end(reply{status: a.unsent()}, nil)
+		a.finish(reply{status: a.unsentStatus()}, nil)
 		return
 	}
-	a.carry(&conn{nc: nc, to: a.to, pool: a.pool})
+	a.runOnConn(&conn{nc: nc, backend: a.backend, pool: a.pool})
 }
 
-// carry carries the attempt out on a new connection. A backend that takes no
+// runOnConn carries the attempt out on a new connection. A backend that takes no
 // more connections may end it, or say so, before the first byte is written.
-func (a *attempt) carry(c *conn) {
+func (a *attempt) runOnConn(c *conn) {
 	if !c.send(a) {
 		c.close("it ended before the first byte")
-		a.end(reply{status: a.unsent()}, nil)
+		a.finish(reply{status: a.unsentStatus()}, nil)
 		return
 	}
-	c.read()
+	c.readAnswers()
 }
 
-var errNoRoom = errors.New("no descriptor is left, or the backend wants nothing new")
+var errDialNotAllowed = errors.New("no descriptor is left, or the backend wants nothing new")
 
 func (a *attempt) dial() (net.Conn, error) {
-	if a.to.stopped.Load() {
-		return nil, errNoRoom
+	if a.backend.unavailable.Load() {
+		return nil, errDialNotAllowed
 	}
-	if a.pool.open.Add(1) > int64(a.pool.cfg.Limits.backends()) {
-		a.pool.open.Add(-1)
-		return nil, errNoRoom
+	if a.pool.openConns.Add(1) > int64(a.pool.cfg.Limits.maxBackendConns()) {
+		a.pool.openConns.Add(-1)
+		return nil, errDialNotAllowed
 	}
 	ctx, cancel := context.WithDeadline(context.Background(), a.deadline)
 	defer cancel()
 	a.mu.Lock()
-	a.cancel = cancel
-	if a.aborted || a.moot {
+	a.cancelDial = cancel
+	if a.aborted || a.requestFinished {
 		cancel()
 	}
 	a.mu.Unlock()
-	nc, err := a.pool.dialer.DialContext(ctx, "tcp", a.to.addr)
+	nc, err := a.pool.dialer.DialContext(ctx, "tcp", a.backend.addr)
 	if err != nil {
-		a.pool.open.Add(-1)
+		a.pool.openConns.Add(-1)
 	}
 	return nc, err
 }
 
-// end tells the outcome. c is nil unless it can be used again.
-func (a *attempt) end(r reply, c *conn) {
-	a.pool.ended(a, r, time.Since(a.started), c)
+// finish tells the outcome. c is nil unless it can be used again.
+func (a *attempt) finish(r reply, c *conn) {
+	a.pool.onAttemptEnd(a, r, time.Since(a.started), c)
 }
 
-func (a *attempt) message() []byte {
+func (a *attempt) encodeCommand() []byte {
 	if a.request == nil {
 		return redcon.AppendBulkString(redcon.AppendBulkString(redcon.AppendArray(nil, 2), "INFO"), "load")
 	}
--- a/internal/ingress/client.go
+++ b/internal/ingress/client.go
@@ -147,7 +147,7 @@
 // interruptRead makes a blocked read of the connection return, so that the reader
 // checks the state of the client again. The caller holds c.mu.
 func (c *client) interruptRead() {
-	c.nc.SetReadDeadline(longAgo)
+	c.nc.SetReadDeadline(expiredDeadline)
 }
 
 // startWriter starts the writer with the first answer: most connections of
@@ -248,8 +248,8 @@
 func (c *client) readCommands() error {
 	// Without a limit, a client that sends nothing, or only part of a command,
 	// would hold its file descriptor forever.
-	in := input{buf: make([]byte, 0, readBuffer), completeBy: c.opened.Add(firstCommandTimeout)}
-	defer func() { c.server.loop.memory.release(cap(in.buf) - readBuffer) }()
+	in := input{buf: make([]byte, 0, readBufferBytes), completeBy: c.opened.Add(firstCommandTimeout)}
+	defer func() { c.server.loop.memory.release(cap(in.buf) - readBufferBytes) }()
 	for {
 		blocked, err := c.startCommands(&in)
 		if err != nil {
@@ -291,7 +291,7 @@
 	case blocked:
 	case idle && c.evicted && len(in.buf) == 0: // a partial command keeps it in use
 		return errEvicted
-	case c.readingStopped && !c.sentCommand && waiting(c.nc): // the first command has already arrived
+	case c.readingStopped && !c.sentCommand && hasUnreadBytes(c.nc): // the first command has already arrived
 		c.nc.SetReadDeadline(time.Now().Add(finalReadTimeout))
 		return nil
 	case c.readingStopped && len(in.buf) > 0:
@@ -310,7 +310,7 @@
 	case !in.pipelineFull:
 		deadline = in.blockedUntil
 	case !c.pipelineFull: // the writer has freed a slot since
-		deadline = longAgo
+		deadline = expiredDeadline
 	}
 	c.nc.SetReadDeadline(deadline)
 	return nil
@@ -340,11 +340,11 @@
 func (c *client) resizeBuffer(buf, remaining []byte, blocked bool) ([]byte, error) {
 	budget := c.server.loop.memory
 	switch {
-	case len(remaining) == 0 && cap(buf) > readBuffer:
-		budget.release(cap(buf) - readBuffer)
-		return make([]byte, 0, readBuffer), nil
+	case len(remaining) == 0 && cap(buf) > readBufferBytes:
+		budget.release(cap(buf) - readBufferBytes)
+		return make([]byte, 0, readBufferBytes), nil
 	case len(remaining) == cap(buf):
-		size := min(2*cap(buf), maxMessageBytes+readBuffer)
+		size := min(2*cap(buf), maxMessageBytes+readBufferBytes)
 		switch {
 		case size > cap(buf) && budget.reserve(size-cap(buf)):
 			return append(make([]byte, 0, size), remaining...), nil
@@ -534,7 +534,7 @@
 		}
 		if finished {
 			c.nc.(*net.TCPConn).CloseWrite()
-			c.nc.SetReadDeadline(longAgo) // wakes the reader
+			c.nc.SetReadDeadline(expiredDeadline) // wakes the reader
 			return
 		}
 	}
--- a/internal/ingress/client_end.go
+++ b/internal/ingress/client_end.go
@@ -63,7 +63,7 @@
 	answers, closeErr := c.answers, c.closeErr
 	c.mu.Unlock()
 	log.ClientClosed(eventlog.ClientClosed{Client: c.id, Reason: cmp.Or(closeErr, reason).Error(), Age: time.Since(c.opened),
-		Answers: answers, Unread: waiting(c.nc)})
+		Answers: answers, Unread: hasUnreadBytes(c.nc)})
 }
 
 // flushAndLinger lets the writer send the answers that are still due, and waits until
--- a/internal/ingress/client_test.go
+++ b/internal/ingress/client_test.go
@@ -251,7 +251,7 @@
 	d.Close()
 	r := serve(t, d, func(cfg *Config) {
 		cfg.Discovery = addr
-		cfg.Known = membership.List{Complete: true, Members: []*membership.Member{b.member("b")}}
+		cfg.LastKnownList = membership.List{Complete: true, Members: []*membership.Member{b.member("b")}}
 	})
 	c := r.dial()
 	for line := ""; line != "+PONG"; {
@@ -339,7 +339,7 @@
 // client has to assume that it was accepted, and would not send it again.
 func TestCommandReadBeforeEvictionIsAnswered(t *testing.T) {
 	r := newRig(t, nil, newBackend(t).member("b"))
-	b := newBench(t)
+	b := newConnFixture(t)
 	c := newClient(r.server, b.nc)
 	in := newInput(encode("PING"))
 	r.server.mu.Lock()
@@ -349,7 +349,7 @@
 	if _, err := c.startCommands(&in); err != nil || c.prepareRead(&in, false) != nil {
 		t.Errorf("the connection ends, %v", err)
 	}
-	if got := readUnread(t, b.far, len("+PONG\r\n")); got != "+PONG\r\n" {
+	if got := readUnread(t, b.peer, len("+PONG\r\n")); got != "+PONG\r\n" {
 		t.Errorf("the client gets %q", got)
 	}
 	r.server.mu.Lock()
@@ -358,10 +358,10 @@
 	}
 	r.server.mu.Unlock()
 	go c.serve()
-	fmt.Fprint(b.far, encode("PING")) // the connection is still served
-	readUnread(t, b.far, len("+PONG\r\n"))
+	fmt.Fprint(b.peer, encode("PING")) // the connection is still served
+	readUnread(t, b.peer, len("+PONG\r\n"))
 	c.evict() // now that it is idle, it is closed
-	if got, err := io.ReadAll(b.far); len(got) > 0 || err != nil {
+	if got, err := io.ReadAll(b.peer); len(got) > 0 || err != nil {
 		t.Errorf("the client gets %q, %v; want the end of the stream", got, err)
 	}
 }
@@ -370,7 +370,7 @@
 // just before the eviction: the rest of the command is awaited.
 func TestPartialCommandPreventsEviction(t *testing.T) {
 	r := newRig(t, nil, newBackend(t).member("b"))
-	b := newBench(t)
+	b := newConnFixture(t)
 	c := newClient(r.server, b.nc)
 	whole := encode("PING")
 	in := newInput(whole[:5])
@@ -385,7 +385,7 @@
 	if blocked, err := c.startCommands(&rest); err != nil || c.prepareRead(&rest, blocked) != nil {
 		t.Fatalf("the connection ends after the command, %v", err)
 	}
-	readUnread(t, b.far, len("+PONG\r\n"))
+	readUnread(t, b.peer, len("+PONG\r\n"))
 	r.server.mu.Lock()
 	defer r.server.mu.Unlock()
 	if r.server.leaving != 0 {
@@ -399,10 +399,10 @@
 func TestCommandArrivingAfterCloseDecisionStaysUnread(t *testing.T) {
 	for name, firstCommandOnly := range map[string]bool{"draining": false, "first command only": true} {
 		r := newRig(t, nil, newBackend(t).member("b"))
-		b := newBench(t)
+		b := newConnFixture(t)
 		c := newClient(r.server, b.nc)
 		c.reply([]byte("+last\r\n"))
-		if got := readUnread(t, b.far, len("+last\r\n")); got != "+last\r\n" {
+		if got := readUnread(t, b.peer, len("+last\r\n")); got != "+last\r\n" {
 			t.Errorf("%s: the client gets %q", name, got)
 		}
 		r.eventually("the writer to be done", func(*loop) bool {
@@ -412,8 +412,8 @@
 		})
 		c.drain(firstCommandOnly)
 		late := encode("PING")
-		fmt.Fprint(b.far, late)
-		for b.quiet() { // until the command has arrived
+		fmt.Fprint(b.peer, late)
+		for b.nothingToRead() { // until the command has arrived
 			time.Sleep(time.Millisecond)
 		}
 		if err := c.readCommands(); !errors.Is(err, errServerClose) {
@@ -423,7 +423,7 @@
 		if got := readUnread(t, b.nc, len(late)); got != late {
 			t.Errorf("%s: %q is left unread, want the late command", name, got)
 		}
-		if got, err := io.ReadAll(b.far); len(got) > 0 || err != nil {
+		if got, err := io.ReadAll(b.peer); len(got) > 0 || err != nil {
 			t.Errorf("%s: the client gets %q, %v; want the end of the stream", name, got, err)
 		}
 	}
@@ -473,7 +473,7 @@
 // command that is long over must not make a reader without a free slot spin.
 func TestReaderWaitsOnlyForAFreeSlot(t *testing.T) {
 	r := newRig(t, nil, newBackend(t).member("b"))
-	b := newBench(t)
+	b := newConnFixture(t)
 	c := newClient(r.server, b.nc)
 	c.sentCommand = true
 	allSlots := make([]*slot, maxPipelinedCommands)
@@ -485,7 +485,7 @@
 	if !blocked || err != nil || c.prepareRead(&in, blocked) != nil {
 		t.Fatalf("with a full pipeline, blocked is %v, error %v", blocked, err)
 	}
-	fmt.Fprint(b.far, "x")
+	fmt.Fprint(b.peer, "x")
 	if n, err := c.nc.Read(make([]byte, 1)); n != 1 {
 		t.Errorf("the reader does not wait for input: %v", err)
 	}
@@ -574,7 +574,7 @@
 			r.waitForAnyClient("the pipeline to be full", func(c *client) bool { return c.pipelineFull })
 			text.Reset()
 			// A little more than the read buffer; the socket buffers hold the rest.
-			for text.Len() < maxMessageBytes+readBuffer+8<<10 {
+			for text.Len() < maxMessageBytes+readBufferBytes+8<<10 {
 				text.WriteString(encode("Q.DO", anyone, newID(), options, strings.Repeat("x", 4<<10)))
 			}
 			c.write(text.String())
@@ -649,7 +649,7 @@
 func TestIdleClientIsEvictedForANewOne(t *testing.T) {
 	b := newBackend(t)
 	// Two descriptors are left for clients.
-	r := newRig(t, func(cfg *Config) { cfg.Limits.Sockets = keptSockets + 4 }, b.member("b"))
+	r := newRig(t, func(cfg *Config) { cfg.Limits.Sockets = reservedSockets + 4 }, b.member("b"))
 	for n := 1; n > 0; { // until the connection of newRig is closed
 		r.server.mu.Lock()
 		n = len(r.server.clients)
@@ -738,7 +738,7 @@
 // any longer than that.
 func TestBlockedCommandDeadlineCountsFromItsLastByte(t *testing.T) {
 	r := newRig(t, nil, newBackend(t).member("b"))
-	b := newBench(t)
+	b := newConnFixture(t)
 	c := newClient(r.server, b.nc)
 	c.sentCommand = true
 	c.pending = make([]*slot, maxPipelinedCommands)
--- a/internal/ingress/config.go
+++ b/internal/ingress/config.go
@@ -38,64 +38,68 @@
 // runtime's poller, a connection just accepted, the configuration read again,
 // and discovery, which may be called at two addresses at once.
 const (
-	heapShare      = 0.6
-	garbagePercent = 400 // the heap in use is small: trade memory for CPU
-	clientShare    = 0.55
-	backendShare   = 0.35
-	keptSockets    = 12
-	defaultSockets = 1024
-	defaultMemory  = 192
-	listShare      = 16      // of the memory: what the text of one list may take
-	listLeast      = 4 << 20 // bytes that it may take in any case
-	customerShare  = 4       // of the memory: what the records of customers may take
-	customerBytes  = 1400    // of one record, as measured
-	customersLeast = 1024    // records that are kept in any case
+	heapMemoryShare       = 0.6
+	gcPercent             = 400 // the heap in use is small: trade memory for CPU
+	clientSocketShare     = 0.55
+	backendSocketShare    = 0.35
+	reservedSockets       = 12
+	defaultSockets        = 1024
+	defaultMemoryMB       = 192
+	listMemoryDivisor     = 16      // of the memory: what the text of one list may take
+	minMaxListBytes       = 4 << 20 // bytes that it may take in any case
+	customerMemoryDivisor = 4       // of the memory: what the records of customers may take
+	bytesPerCustomer      = 1400    // of one record, as measured
+	minMaxCustomers       = 1024    // records that are kept in any case
 )
 
 // Apply sets the Go runtime's bounds for the whole process.
 func (l Limits) Apply() {
 	runtime.GOMAXPROCS(max(1, int(l.Cores)))
-	debug.SetMemoryLimit(int64(heapShare * float64(l.MemoryMB) * (1 << 20)))
-	debug.SetGCPercent(garbagePercent)
+	debug.SetMemoryLimit(int64(heapMemoryShare * float64(l.MemoryMB) * (1 << 20)))
+	debug.SetGCPercent(gcPercent)
 }
 
-func (l Limits) clients() int  { return max(1, int(clientShare*float64(l.Sockets-keptSockets))) }
-func (l Limits) backends() int { return max(1, int(backendShare*float64(l.Sockets-keptSockets))) }
+func (l Limits) maxClients() int {
+	return max(1, int(clientSocketShare*float64(l.Sockets-reservedSockets)))
+}
+func (l Limits) maxBackendConns() int {
+	return max(1, int(backendSocketShare*float64(l.Sockets-reservedSockets)))
+}
 
-// list bounds the text of a list of backends, in bytes.
-func (l Limits) list() int { return max(listLeast, l.MemoryMB<<20/listShare) }
+// maxListBytes bounds the text of a maxListBytes of backends, in bytes.
+func (l Limits) maxListBytes() int { return max(minMaxListBytes, l.MemoryMB<<20/listMemoryDivisor) }
 
-// customers bounds the records of customers.
-func (l Limits) customers() int {
-	return max(customersLeast, l.MemoryMB<<20/customerShare/customerBytes)
+// maxCustomers bounds the records of maxCustomers.
+func (l Limits) maxCustomers() int {
+	return max(minMaxCustomers, l.MemoryMB<<20/customerMemoryDivisor/bytesPerCustomer)
 }
 
 // Config is all that one ingress is told at its start.
 type Config struct {
-	Name      string
-	Listen    string
-	Discovery string
-	Seed      uint64
-	Limits    Limits
-	Known     membership.List
-	Log       *eventlog.Log // nil writes nothing
-	Choice    choice.Config
-
-	classes        map[string]int
-	plans          map[string]int
-	zones          map[string]int
-	kinds          map[string]int
-	connIdle       time.Duration // a backend closes connections idle for so long
-	connectTimeout time.Duration
-	ask            bool // the list of backends has to be asked for
+	Name          string
+	Listen        string
+	Discovery     string
+	Seed          uint64
+	Limits        Limits
+	LastKnownList membership.List
+	Log           *eventlog.Log // nil writes nothing
+	Choice        choice.Config
+
+	classes            map[string]int
+	plans              map[string]int
+	zones              map[string]int
+	kinds              map[string]int
+	backendIdleTimeout time.Duration // a backend closes connections idle for so long
+	connectTimeout     time.Duration
+	centralDiscovery   bool // the list of backends has to be asked for
 }
 
-// pace is how discovery is followed.
-func (cfg *Config) pace() pace {
-	if cfg.ask {
-		return asked(cfg.Choice.Gateways, cfg.Choice.DrainGrace)
+// discoveryTiming is how discovery is followed.
+func (cfg *Config) discoveryTiming() discoveryTiming {
+	if cfg.centralDiscovery {
+		return serviceTiming(cfg.Choice.Gateways, cfg.Choice.DrainGrace)
 	}
-	return pushed(cfg.Choice.DrainGrace)
+	return agentTiming(cfg.Choice.DrainGrace)
 }
 
 // LoadConfig reads the file that NODE_CONFIG names. The other NODE_ variables
@@ -148,15 +152,15 @@
 
 // ParseConfig decodes a configuration.
 func ParseConfig(data []byte) (Config, error) {
-	rest, known, err := jsontext.ExtractField(data, knownField, nil)
+	rest, list, err := jsontext.ExtractField(data, knownField, nil)
 	if err != nil {
 		return Config{}, err
 	}
 	cfg, err := parseConfig(rest)
-	if err != nil || known == nil || string(known) == "null" {
+	if err != nil || list == nil || string(list) == "null" {
 		return cfg, err
 	}
-	if cfg.Known, err = membership.Decode(known, &membership.DecodeCache{}); err != nil {
+	if cfg.LastKnownList, err = membership.Decode(list, &membership.DecodeCache{}); err != nil {
 		return Config{}, fmt.Errorf("known: %w", err)
 	}
 	return cfg, nil
@@ -175,7 +179,7 @@
 	if err := json.Unmarshal(data, &file); err != nil {
 		return Config{}, err
 	}
-	decisions, ask, err := wire.ParseConfig(file.Settings)
+	choiceConfig, centralDiscovery, err := wire.ParseConfig(file.Settings)
 	if err != nil {
 		return Config{}, err
 	}
@@ -199,8 +203,8 @@
 	}
 	cfg := Config{
 		Name: file.Name, Listen: file.Listen, Discovery: file.Discovery, Limits: file.Limits,
-		Choice: decisions, classes: map[string]int{}, plans: map[string]int{}, zones: map[string]int{}, kinds: map[string]int{},
-		connIdle: millis(s.Bounds.ConnIdle), connectTimeout: millis(s.Bounds.ConnectTimeout), ask: ask,
+		Choice: choiceConfig, classes: map[string]int{}, plans: map[string]int{}, zones: map[string]int{}, kinds: map[string]int{},
+		backendIdleTimeout: millisToDuration(s.Bounds.ConnIdle), connectTimeout: millisToDuration(s.Bounds.ConnectTimeout), centralDiscovery: centralDiscovery,
 	}
 	if file.Seed != "" {
 		if cfg.Seed, err = strconv.ParseUint(file.Seed, 16, 64); err != nil {
@@ -223,11 +227,11 @@
 		cfg.Limits.Sockets = defaultSockets
 	}
 	if cfg.Limits.MemoryMB <= 0 {
-		cfg.Limits.MemoryMB = defaultMemory
+		cfg.Limits.MemoryMB = defaultMemoryMB
 	}
-	cfg.Choice.MaxCustomers = cfg.Limits.customers()
-	if cfg.connIdle <= 0 {
-		cfg.connIdle = 15 * time.Second
+	cfg.Choice.MaxCustomers = cfg.Limits.maxCustomers()
+	if cfg.backendIdleTimeout <= 0 {
+		cfg.backendIdleTimeout = 15 * time.Second
 	}
 	if cfg.connectTimeout <= 0 {
 		cfg.connectTimeout = 250 * time.Millisecond
@@ -236,6 +240,6 @@
 	return cfg, nil
 }
 
-func millis(ms float64) time.Duration {
+func millisToDuration(ms float64) time.Duration {
 	return time.Duration(math.Round(ms * float64(time.Millisecond)))
 }
--- a/internal/ingress/config_test.go
+++ b/internal/ingress/config_test.go
@@ -21,15 +21,15 @@
 
 // A configuration that is read again brings all but the list of backends, which
 // is older than the one in force; a broken one is refused.
-func TestConfigurationIsReadAgainWithoutItsList(t *testing.T) {
+func TestReloadConfigOmitsBackendList(t *testing.T) {
 	good := fmt.Sprintf(settings, 1000)
 	env := writeConfig(t, `{"revision":3,"complete":true,"members":[{"id":"a","host_port":"a:1"}]}`, good)
 	first, err := LoadConfig(env)
-	if err != nil || len(first.Known.Members) != 1 || first.Known.Revision != 3 {
-		t.Fatalf("the first reading gives %+v, %v", first.Known, err)
+	if err != nil || len(first.LastKnownList.Members) != 1 || first.LastKnownList.Revision != 3 {
+		t.Fatalf("the first reading gives %+v, %v", first.LastKnownList, err)
 	}
 	again, err := ReloadConfig(env)
-	if err != nil || len(again.Known.Members) != 0 || again.Discovery != "127.0.0.1:2" || len(again.Choice.Classes) != len(first.Choice.Classes) {
+	if err != nil || len(again.LastKnownList.Members) != 0 || again.Discovery != "127.0.0.1:2" || len(again.Choice.Classes) != len(first.Choice.Classes) {
 		t.Errorf("read again: %+v, %v", again, err)
 	}
 	for what, env := range map[string]func(string) string{
@@ -43,13 +43,13 @@
 	if _, err := LoadConfig(writeConfig(t, `{"members":5}`, good)); err == nil {
 		t.Error("a list that can't be read is taken at the start")
 	}
-	if cfg, err := LoadConfig(writeConfig(t, "null", good)); err != nil || cfg.Known.Complete {
-		t.Errorf("no list: %+v, %v", cfg.Known, err)
+	if cfg, err := LoadConfig(writeConfig(t, "null", good)); err != nil || cfg.LastKnownList.Complete {
+		t.Errorf("no list: %+v, %v", cfg.LastKnownList, err)
 	}
 }
 
 // As many customers are known as a part of the memory holds, and a thousand in any case.
-func TestCustomersAreBoundedByTheMemory(t *testing.T) {
+func TestMaxCustomersScalesWithMemory(t *testing.T) {
 	for memory, want := range map[int]int{1: 1024, 48: 8987, 192: 35951} {
 		cfg, err := ParseConfig(fmt.Appendf(nil, `{"limits":{"memory_mb":%d},"settings":%s}`, memory, fmt.Sprintf(settings, 1000)))
 		if err != nil || cfg.Choice.MaxCustomers != want {
--- a/internal/ingress/conn_test.go
+++ b/internal/ingress/conn_test.go
@@ -16,7 +16,7 @@
 	"cedarseam/choice"
 )
 
-func TestAnswersAreUnderstood(t *testing.T) {
+func TestNextReply(t *testing.T) {
 	cfg, err := ParseConfig([]byte(`{"settings":` + strings.Replace(settings, "%d", "1", 1) + `}`))
 	if err != nil {
 		t.Fatal(err)
@@ -74,7 +74,7 @@
 }
 
 // An unsafe request that may have run gets no second attempt and no refusal.
-func TestPaymentThatMayHaveRunFails(t *testing.T) {
+func TestNonRepeatableRequestThatMayHaveRunFails(t *testing.T) {
 	one, two := newBackend(t), newBackend(t)
 	r := newRig(t, nil, one.member("1"), two.member("2"))
 	for _, end := range []func(received){
@@ -103,7 +103,7 @@
 }
 
 // One that was turned away has not run, and goes to the other backend.
-func TestPaymentThatWasTurnedAwayGoesOn(t *testing.T) {
+func TestRejectedNonRepeatableRequestIsRetried(t *testing.T) {
 	one, two := newBackend(t), newBackend(t)
 	r := newRig(t, nil, one.member("1"), two.member("2"))
 	c := r.dial()
@@ -121,7 +121,7 @@
 	c.want("$1\r\nv")
 }
 
-func TestPaymentGoesOnWhenTheConnectionIsRefused(t *testing.T) {
+func TestNonRepeatableRequestIsRetriedAfterRefusedConnection(t *testing.T) {
 	down, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -140,14 +140,14 @@
 	}
 }
 
-// rest waits until so many connections are idle and lets them have rested.
-func (r *rig) rest(connections int) {
+// ageIdleConns waits until so many connections are idle and lets them have rested.
+func (r *rig) ageIdleConns(connections int) {
 	r.Helper()
 	r.eventually("the connections to be idle", func(l *loop) bool {
 		n := 0
 		for _, b := range l.pool.byID {
-			for _, c := range b.idle {
-				c.rested = c.rested.Add(-reuseRest)
+			for _, c := range b.idleConns {
+				c.idleSince = c.idleSince.Add(-reuseDelay)
 				n++
 			}
 		}
@@ -157,7 +157,7 @@
 
 // Answers come in order, so a second request on a busy connection would wait;
 // an idle one is used again.
-func TestConnectionsCarryOneRequestAtATimeAndAreUsedAgain(t *testing.T) {
+func TestConnectionsAreReusedWithoutPipelining(t *testing.T) {
 	b := newBackend(t)
 	r := newRig(t, func(cfg *Config) { cfg.Choice.Probing = false }, b.member("b"))
 	c := r.dial()
@@ -170,7 +170,7 @@
 	two.answer("v")
 	c.want("$1\r\nv")
 	c.want("$1\r\nv")
-	r.rest(2)
+	r.ageIdleConns(2)
 	c.send("Q.ASK", anyone, newID(), lookup)
 	if three := wait(t, "a third", b.got); three.nc != one.nc && three.nc != two.nc {
 		t.Error("a new connection though two are idle")
@@ -182,7 +182,7 @@
 
 // A request on a connection that the backend has closed would be a reset, and
 // lost if unsafe: a closed one is noticed while idle.
-func TestClosedIdleConnectionIsNotUsed(t *testing.T) {
+func TestClosedIdleConnectionIsNotReused(t *testing.T) {
 	b := newBackend(t)
 	r := newRig(t, func(cfg *Config) { cfg.Choice.Probing = false }, b.member("b"))
 	c := r.dial()
@@ -192,14 +192,14 @@
 		got.answer("v")
 		c.want("$1\r\nv")
 		got.nc.Close()
-		r.eventually("the connection to be dropped", func(l *loop) bool { return l.pool.open.Load() == 0 })
+		r.eventually("the connection to be dropped", func(l *loop) bool { return l.pool.openConns.Load() == 0 })
 	}
 }
 
 // The ingress drops idle connections itself, well before the backend does.
-func TestIdleConnectionIsDroppedBeforeTheBackendCloses(t *testing.T) {
+func TestIdleConnectionIsClosedBeforeBackendTimeout(t *testing.T) {
 	b := newBackend(t)
-	r := newRig(t, func(cfg *Config) { cfg.connIdle, cfg.Choice.Probing = 100*time.Millisecond, false }, b.member("b"))
+	r := newRig(t, func(cfg *Config) { cfg.backendIdleTimeout, cfg.Choice.Probing = 100*time.Millisecond, false }, b.member("b"))
 	c := r.dial()
 	c.send("Q.ASK", anyone, newID(), lookup)
 	got := wait(t, "the request", b.got)
@@ -214,7 +214,7 @@
 }
 
 // At the limit of descriptors an idle connection to another backend makes room.
-func TestIdleConnectionMakesRoomForAnother(t *testing.T) {
+func TestEvictIdleClosesConnectionOfAnotherBackend(t *testing.T) {
 	one, two := newBackend(t), newBackend(t)
 	r := newRig(t, func(cfg *Config) { cfg.Limits.Sockets, cfg.Choice.Probing = 5, false }, one.member("1")) // one for backends
 	c := r.dial()
@@ -222,20 +222,20 @@
 	wait(t, "the request", one.got).answer("v")
 	c.want("$1\r\nv")
 	r.ask(func(l *loop) {
-		l.pool.member(two.member("2"), choice.Ready)
-		l.pool.evict()
+		l.pool.updateMember(two.member("2"), choice.Ready)
+		l.pool.evictIdle()
 	})
 	wait(t, "the end of the idle connection", one.closed)
 }
 
-// bench is one connection of a pool without a loop, its other end, and the outcomes.
-type bench struct {
+// connFixture is one connection of a pool without a loop, its other end, and the outcomes.
+type connFixture struct {
 	*conn
-	far   net.Conn
-	ended chan choice.Status
+	peer     net.Conn
+	outcomes chan choice.Status
 }
 
-func newBench(t *testing.T) *bench {
+func newConnFixture(t *testing.T) *connFixture {
 	t.Helper()
 	cfg, err := ParseConfig(fmt.Appendf(nil, `{"settings":%s}`, fmt.Sprintf(settings, 3600_000)))
 	if err != nil {
@@ -250,68 +250,68 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	far, err := ln.Accept()
+	peer, err := ln.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { nc.Close(); far.Close() })
-	far.SetDeadline(time.Now().Add(patience))
-	b := &bench{far: far, ended: make(chan choice.Status, 1)}
-	p := newPool(&cfg, func(_ *attempt, r reply, _ time.Duration, _ *conn) { b.ended <- r.status }, func(*conn) {})
-	b.conn = &conn{nc: nc, to: &backend{id: 1, addr: ln.Addr().String()}, pool: p}
+	t.Cleanup(func() { nc.Close(); peer.Close() })
+	peer.SetDeadline(time.Now().Add(patience))
+	b := &connFixture{peer: peer, outcomes: make(chan choice.Status, 1)}
+	p := newPool(&cfg, func(_ *attempt, r reply, _ time.Duration, _ *conn) { b.outcomes <- r.status }, func(*conn) {})
+	b.conn = &conn{nc: nc, backend: &backend{id: 1, addr: ln.Addr().String()}, pool: p}
 	return b
 }
 
-// attempt makes an attempt of a payment for the connection's backend.
-func (b *bench) attempt(t *testing.T) *attempt {
+// newAttempt makes an newAttempt of a payment for the connection's backend.
+func (b *connFixture) newAttempt(t *testing.T) *attempt {
 	t.Helper()
 	cmd, err := b.pool.cfg.parseCommand([][]byte{
 		[]byte("Q.DO"), []byte(anyone), []byte(someID), []byte(payment), []byte("BODY")})
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &attempt{pool: b.pool, request: &request{command: cmd}, to: b.to, started: time.Now(),
-		deadline: time.Now().Add(patience), wrote: make(chan struct{})}
+	return &attempt{pool: b.pool, request: &request{command: cmd}, backend: b.backend, started: time.Now(),
+		deadline: time.Now().Add(patience), writeDone: make(chan struct{})}
 }
 
-// wantNothing tells that the other end saw the connection end without a byte.
-func (b *bench) wantNothing(t *testing.T) {
+// wantNoBytes tells that the other end saw the connection end without a byte.
+func (b *connFixture) wantNoBytes(t *testing.T) {
 	t.Helper()
-	if got, err := io.ReadAll(b.far); err != nil || len(got) > 0 {
+	if got, err := io.ReadAll(b.peer); err != nil || len(got) > 0 {
 		t.Errorf("the backend got %q, %v; want nothing", got, err)
 	}
 }
 
-func (b *bench) want(t *testing.T, status choice.Status) {
+func (b *connFixture) wantStatus(t *testing.T, status choice.Status) {
 	t.Helper()
-	if got := wait(t, "the outcome", b.ended); got != status {
+	if got := wait(t, "the outcome", b.outcomes); got != status {
 		t.Errorf("outcome %d, want %d", got, status)
 	}
 }
 
 // A backend that is told to drain while an attempt waits for its connection
 // gets nothing of it, and the attempt counts as never run.
-func TestNothingNewGoesToADrainingBackend(t *testing.T) {
-	b := newBench(t)
-	b.to.stopped.Store(true)
-	a := b.attempt(t)
+func TestDrainingBackendGetsNoNewAttempt(t *testing.T) {
+	b := newConnFixture(t)
+	b.backend.unavailable.Store(true)
+	a := b.newAttempt(t)
 	b.send(a)
-	go b.read()
-	b.want(t, choice.ConnectFailed)
-	b.wantNothing(t)
+	go b.readAnswers()
+	b.wantStatus(t, choice.ConnectFailed)
+	b.wantNoBytes(t)
 
-	a = b.attempt(t) // and no new connection either
+	a = b.newAttempt(t) // and no new connection either
 	b.pool.dialer.Control = func(string, string, syscall.RawConn) error {
 		t.Error("a draining backend gets a new connection")
 		return nil
 	}
 	a.run(nil)
-	b.want(t, choice.ConnectFailed)
+	b.wantStatus(t, choice.ConnectFailed)
 }
 
-func TestAbortEndsADial(t *testing.T) {
-	b := newBench(t)
-	a := b.attempt(t)
+func TestAbortCancelsDial(t *testing.T) {
+	b := newConnFixture(t)
+	a := b.newAttempt(t)
 	b.pool.dialer.ControlContext = func(ctx context.Context, _, _ string, _ syscall.RawConn) error {
 		a.abort()
 		<-ctx.Done()
@@ -320,46 +320,46 @@
 	a.deadline = time.Now().Add(2 * patience)
 	b.pool.dialer.Timeout = 2 * patience
 	go a.run(nil)
-	b.want(t, choice.ConnectFailed)
+	b.wantStatus(t, choice.ConnectFailed)
 }
 
 // The loop may hand out a connection that has closed a moment ago: nothing was
 // written, so the attempt takes a new one.
-func TestClosedConnectionTakesNoAttempt(t *testing.T) {
-	b := newBench(t)
-	b.far.Close()
-	b.read()
-	if b.send(b.attempt(t)) {
+func TestSendFailsOnClosedConnection(t *testing.T) {
+	b := newConnFixture(t)
+	b.peer.Close()
+	b.readAnswers()
+	if b.send(b.newAttempt(t)) {
 		t.Error("an attempt is sent on a closed connection")
 	}
 }
 
-func TestAttemptCalledOffBeforeItsFirstByteNeverRan(t *testing.T) {
-	b := newBench(t)
-	a := b.attempt(t)
+func TestAbortBeforeFirstByteCountsAsUnsent(t *testing.T) {
+	b := newConnFixture(t)
+	a := b.newAttempt(t)
 	a.abort()
 	b.send(a)
-	go b.read()
-	b.want(t, choice.ConnectFailed)
-	b.wantNothing(t)
+	go b.readAnswers()
+	b.wantStatus(t, choice.ConnectFailed)
+	b.wantNoBytes(t)
 
-	a = b.attempt(t)
+	a = b.newAttempt(t)
 	a.abort()
 	a.run(nil)
-	b.want(t, choice.ConnectFailed)
+	b.wantStatus(t, choice.ConnectFailed)
 }
 
 // Where the settings allow no cancels, a request whose client has left while a
 // connection was coming up goes nowhere all the same.
-func TestNothingIsSentOnForAClientThatLeft(t *testing.T) {
+func TestRequestOfDisconnectedClientIsNotSent(t *testing.T) {
 	b := newBackend(t)
 	r := newRig(t, func(cfg *Config) { cfg.Choice.Cancelling, cfg.Choice.Probing = false, false }, b.member("b"))
-	dials, up := make(chan struct{}, 10), make(chan struct{})
+	dials, allowDial := make(chan struct{}, 10), make(chan struct{})
 	r.ask(func(l *loop) {
 		l.pool.dialer.ControlContext = func(ctx context.Context, _, _ string, _ syscall.RawConn) error {
 			dials <- struct{}{}
 			select {
-			case <-up:
+			case <-allowDial:
 				return nil
 			case <-ctx.Done():
 				return ctx.Err()
@@ -376,68 +376,68 @@
 		}
 		return true
 	})
-	close(up) // only now does the connection come up
+	close(allowDial) // only now does the connection come up
 	r.eventually("the request to be forgotten", func(l *loop) bool { return len(l.requests) == 0 })
 	idle(t, "a request sent on", b.got)
 }
 
-func TestAttemptOfARequestThatIsOver(t *testing.T) {
-	b := newBench(t)
-	a := b.attempt(t)
-	a.withdraw() // while it waited for its connection
+func TestFinishedRequestCancelsOnlyUnsentAttempts(t *testing.T) {
+	b := newConnFixture(t)
+	a := b.newAttempt(t)
+	a.cancelUnsent() // while it waited for its connection
 	b.send(a)
-	go b.read()
-	b.want(t, choice.CancelledBeforeSend)
-	b.wantNothing(t)
+	go b.readAnswers()
+	b.wantStatus(t, choice.CancelledBeforeSend)
+	b.wantNoBytes(t)
 
-	a = b.attempt(t)
-	a.withdraw()
+	a = b.newAttempt(t)
+	a.cancelUnsent()
 	a.run(nil)
-	b.want(t, choice.CancelledBeforeSend)
+	b.wantStatus(t, choice.CancelledBeforeSend)
 
-	b = newBench(t)
-	a = b.attempt(t)
+	b = newConnFixture(t)
+	a = b.newAttempt(t)
 	b.send(a)
-	a.withdraw() // one that is out goes on
-	go b.read()
-	fmt.Fprint(b.far, "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n")
-	b.want(t, choice.OK)
+	a.cancelUnsent() // one that is out goes on
+	go b.readAnswers()
+	fmt.Fprint(b.peer, "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n")
+	b.wantStatus(t, choice.OK)
 }
 
-// shortConn loses its peer before the last byte.
-type shortConn struct{ net.Conn }
+// shortWriteConn loses its peer before the last byte.
+type shortWriteConn struct{ net.Conn }
 
-func (c shortConn) Write(b []byte) (int, error) {
+func (c shortWriteConn) Write(b []byte) (int, error) {
 	n, _ := c.Conn.Write(b[:len(b)-1])
 	return n, io.ErrShortWrite
 }
 
-func TestAttemptWithoutItsLastByteNeverRan(t *testing.T) {
-	b := newBench(t)
-	b.nc = shortConn{b.nc}
-	b.send(b.attempt(t))
-	go b.read()
-	b.want(t, choice.ConnectFailed)
+func TestIncompleteWriteCountsAsUnsent(t *testing.T) {
+	b := newConnFixture(t)
+	b.nc = shortWriteConn{b.nc}
+	b.send(b.newAttempt(t))
+	go b.readAnswers()
+	b.wantStatus(t, choice.ConnectFailed)
 }
 
 // The time of an idle connection that runs out just as an attempt starts is
 // not the attempt's.
-func TestIdleTimeDoesNotEndAnAttempt(t *testing.T) {
-	b := newBench(t)
-	a := b.attempt(t)
+func TestIdleDeadlineDoesNotEndAttempt(t *testing.T) {
+	b := newConnFixture(t)
+	a := b.newAttempt(t)
 	b.send(a)
-	b.retire() // as if the idle deadline had passed
-	go b.read()
-	if got := a.broken(os.ErrDeadlineExceeded); got != choice.OK {
+	b.closeAsync() // as if the idle deadline had passed
+	go b.readAnswers()
+	if got := a.statusAfterError(os.ErrDeadlineExceeded); got != choice.OK {
 		t.Errorf("the attempt ends with %d", got)
 	}
 	b.nc.SetDeadline(a.deadline)
-	fmt.Fprint(b.far, "-BUSY\r\n")
-	b.want(t, choice.Refused)
+	fmt.Fprint(b.peer, "-BUSY\r\n")
+	b.wantStatus(t, choice.Refused)
 }
 
 // No second attempt may overlap: the connection is closed before the outcome is told.
-func TestConnectionIsClosedBeforeTheOutcomeIsTold(t *testing.T) {
+func TestConnectionIsClosedBeforeOutcomeIsReported(t *testing.T) {
 	for _, c := range []struct {
 		end  func(*attempt)
 		want choice.Status
@@ -448,18 +448,18 @@
 			a.conn.nc.SetDeadline(a.deadline)
 		}, choice.Timeout},
 	} {
-		b := newBench(t)
+		b := newConnFixture(t)
 		closed := false
-		b.pool.ended = func(_ *attempt, r reply, _ time.Duration, _ *conn) {
+		b.pool.onAttemptEnd = func(_ *attempt, r reply, _ time.Duration, _ *conn) {
 			_, err := b.nc.Write([]byte("x"))
 			closed = errors.Is(err, net.ErrClosed)
-			b.ended <- r.status
+			b.outcomes <- r.status
 		}
-		a := b.attempt(t)
+		a := b.newAttempt(t)
 		b.send(a)
 		c.end(a)
-		go b.read()
-		b.want(t, c.want)
+		go b.readAnswers()
+		b.wantStatus(t, c.want)
 		if !closed {
 			t.Errorf("outcome %d was told on an open connection", c.want)
 		}
@@ -468,39 +468,39 @@
 
 // A second copy of an answer, or noise, may come behind it. Nothing tells whose
 // an answer is, so the next request must not be on that connection by then.
-func TestConnectionRestsBeforeItIsUsedAgain(t *testing.T) {
-	b := newBench(t)
+func TestReuseDelay(t *testing.T) {
+	b := newConnFixture(t)
 	p := b.pool
-	p.byID[b.to.id] = b.to
-	other := &conn{nc: b.nc, to: b.to, pool: p}
-	p.put(b.conn)
-	p.put(other)
-	if c := p.rested(b.to); c != nil {
+	p.byID[b.backend.id] = b.backend
+	other := &conn{nc: b.nc, backend: b.backend, pool: p}
+	p.putIdle(b.conn)
+	p.putIdle(other)
+	if c := p.takeIdle(b.backend); c != nil {
 		t.Error("a connection is used again at once")
 	}
-	for _, c := range b.to.idle {
-		c.rested = c.rested.Add(-reuseRest)
+	for _, c := range b.backend.idleConns {
+		c.idleSince = c.idleSince.Add(-reuseDelay)
 	}
-	if c := p.rested(b.to); c != b.conn {
+	if c := p.takeIdle(b.backend); c != b.conn {
 		t.Error("the longest rested one is not taken first")
 	}
-	if len(b.to.idle) != 1 || b.to.idle[0] != other {
-		t.Errorf("%d connections are idle, want the other one", len(b.to.idle))
+	if len(b.backend.idleConns) != 1 || b.backend.idleConns[0] != other {
+		t.Errorf("%d connections are idle, want the other one", len(b.backend.idleConns))
 	}
 }
 
 // What has come already is seen before the first byte of the next request,
 // which then goes elsewhere unharmed.
-func TestConnectionWithBytesLeftOverIsNotUsedAgain(t *testing.T) {
-	b := newBench(t)
-	fmt.Fprint(b.far, "noise")
-	for b.quiet() { // until it has come
+func TestConnectionWithUnreadBytesIsNotReused(t *testing.T) {
+	b := newConnFixture(t)
+	fmt.Fprint(b.peer, "noise")
+	for b.nothingToRead() { // until it has come
 		time.Sleep(time.Millisecond)
 	}
-	if b.send(b.attempt(t)) {
+	if b.send(b.newAttempt(t)) {
 		t.Error("the connection is used")
 	}
-	b.read()
+	b.readAnswers()
 	if err := b.nc.SetDeadline(time.Time{}); !errors.Is(err, net.ErrClosed) {
 		t.Errorf("the connection is open: %v", err)
 	}
@@ -508,19 +508,19 @@
 
 // A backend with too many connections may end a new one at once: the attempt on
 // it never ran, and must end all the same.
-func TestAttemptOnAConnectionThatEndsAtOnceNeverRan(t *testing.T) {
-	b := newBench(t)
-	b.far.Close()
-	for b.quiet() { // until its end has come
+func TestAttemptOnImmediatelyClosedConnectionCountsAsUnsent(t *testing.T) {
+	b := newConnFixture(t)
+	b.peer.Close()
+	for b.nothingToRead() { // until its end has come
 		time.Sleep(time.Millisecond)
 	}
-	go b.attempt(t).carry(b.conn)
-	b.want(t, choice.ConnectFailed)
+	go b.newAttempt(t).runOnConn(b.conn)
+	b.wantStatus(t, choice.ConnectFailed)
 }
 
 // While kept connections are reset at their next request, a payment on one
 // would be lost: it goes on a new one.
-func TestPaymentAvoidsKeptConnectionsWhileTheyAreReset(t *testing.T) {
+func TestNonRepeatableRequestAvoidsReuseAfterResets(t *testing.T) {
 	b := newBackend(t)
 	r := newRig(t, func(cfg *Config) { cfg.Choice.Probing = false }, b.member("b"))
 	c := r.dial()
@@ -528,13 +528,13 @@
 	first := wait(t, "the request", b.got)
 	first.answer("v")
 	c.want("$1\r\nv")
-	r.rest(1)
+	r.ageIdleConns(1)
 	c.send("Q.ASK", anyone, newID(), lookup)
 	wait(t, "a request on the kept connection", b.got).reset()
 	again := wait(t, "its further attempt", b.got)
 	again.answer("v")
 	c.want("$1\r\nv")
-	r.rest(1)
+	r.ageIdleConns(1)
 	c.send("Q.DO", anyone, newID(), payment, "BODY")
 	got := wait(t, "a payment", b.got)
 	if got.nc == again.nc {
@@ -552,12 +552,12 @@
 }
 
 // An answer read late, in two parts, is whole all the same.
-func TestSlowAnswerIsTakenWhole(t *testing.T) {
-	b := newBench(t)
-	a := b.attempt(t)
+func TestAnswerInTwoParts(t *testing.T) {
+	b := newConnFixture(t)
+	a := b.newAttempt(t)
 	b.send(a)
-	go b.read()
-	fmt.Fprint(b.far, "*3\r\n$1\r\n")
-	fmt.Fprint(b.far, "v\r\n$-1\r\n$-1\r\n")
-	b.want(t, choice.OK)
+	go b.readAnswers()
+	fmt.Fprint(b.peer, "*3\r\n$1\r\n")
+	fmt.Fprint(b.peer, "v\r\n$-1\r\n$-1\r\n")
+	b.wantStatus(t, choice.OK)
 }
--- a/internal/ingress/ingress_test.go
+++ b/internal/ingress/ingress_test.go
@@ -148,7 +148,7 @@
 		}
 		var nothing <-chan time.Time
 		if d.agent.Load() {
-			ticks := time.NewTicker(keepalive / 2)
+			ticks := time.NewTicker(watchKeepAlive / 2)
 			defer ticks.Stop()
 			nothing = ticks.C
 			io.WriteString(w, "\n")
@@ -244,7 +244,7 @@
 	s.mu.Lock()
 	current := s.current
 	s.mu.Unlock()
-	s.take(current, list)
+	s.handleList(current, list)
 }
 
 type fakeClient struct {
--- a/internal/ingress/loop.go
+++ b/internal/ingress/loop.go
@@ -42,7 +42,7 @@
 	lastID   uint32
 	ids      recentIDs
 	memory   *memoryBudget
-	dates    startDates
+	dates    startAgeEstimator
 }
 
 // request is one try of a client, from its last byte to its final answer and
@@ -73,7 +73,7 @@
 		func(a *attempt, r reply, elapsed time.Duration, c *conn) {
 			l.post(func(l *loop) { l.ended(a, r, elapsed, c) })
 		},
-		func(c *conn) { l.post(func(l *loop) { l.pool.forget(c) }) })
+		func(c *conn) { l.post(func(l *loop) { l.pool.removeIdle(c) }) })
 	var err error
 	if l.gateway, err = choice.New(cfg.Choice, cfg.Seed, l.now(), l); err != nil {
 		return nil, fmt.Errorf("gateway: %w", err)
@@ -184,30 +184,30 @@
 
 // ended takes the end of an attempt. c is its connection if that can be used again.
 func (l *loop) ended(a *attempt, answer reply, elapsed time.Duration, c *conn) {
-	l.pool.judge(a, answer.status)
+	l.pool.recordReuseOutcome(a, answer.status)
 	switch {
-	case c != nil && a.fresh:
-		c.retire()
+	case c != nil && a.dedicatedConn:
+		c.closeAsync()
 	case c != nil:
-		l.pool.put(c)
+		l.pool.putIdle(c)
 	}
 	if a.request == nil {
 		l.gateway.ProbeResult(l.now(), choice.ProbeResult{
-			Backend: a.to.id, Status: answer.status, Elapsed: elapsed, Load: answer.load})
+			Backend: a.backend.id, Status: answer.status, Elapsed: elapsed, Load: answer.load})
 		return
 	}
 	r := a.request
 	r.out--
 	if l.cfg.Log.Detailed() {
-		l.cfg.Log.AttemptEnded(eventlog.AttemptEnded{Request: r.requestID, Attempt: a.number, Backend: a.to.name,
-			Status: answer.status.String(), Elapsed: elapsed, Reusable: c != nil && !a.fresh})
+		l.cfg.Log.AttemptEnded(eventlog.AttemptEnded{Request: r.requestID, Attempt: a.number, Backend: a.backend.name,
+			Status: answer.status.String(), Elapsed: elapsed, Reusable: c != nil && !a.dedicatedConn})
 	}
 	if answer.status == choice.OK {
-		l.over(r, "served", a.to.name, 0)
+		l.over(r, "served", a.backend.name, 0)
 		l.answer(r, answer.value)
 	}
 	l.gateway.Outcome(l.now(), choice.Outcome{
-		ID: r.id, Attempt: a.number, Backend: a.to.id, Status: answer.status, Elapsed: elapsed, Answered: r.over,
+		ID: r.id, Attempt: a.number, Backend: a.backend.id, Status: answer.status, Elapsed: elapsed, Answered: r.over,
 		Metered: answer.metered, Used: answer.used, Load: answer.load,
 	})
 	l.forget(r)
@@ -234,7 +234,7 @@
 func (l *loop) end(r *request) {
 	r.over = true
 	for _, a := range r.attempts {
-		a.withdraw()
+		a.cancelUnsent()
 	}
 }
 
@@ -242,7 +242,7 @@
 // events pass between the parts. It returns once all are in force, and is never
 // called by the loop itself.
 func (l *loop) changeInParts(changes []membership.Change) {
-	for part := range slices.Chunk(changes, changesAtOnce) {
+	for part := range slices.Chunk(changes, changeBatchSize) {
 		taken := make(chan struct{})
 		l.post(func(l *loop) {
 			l.change(part)
@@ -272,12 +272,12 @@
 		default:
 			b.State = choice.Removed
 		}
-		record := l.pool.member(c.Member, b.State)
-		if record.dated != c.UpSince { // once for each start: a new time is a new process to the gateway
-			record.started, _ = l.started(c.UpSince)
-			record.dated = c.UpSince
+		record := l.pool.updateMember(c.Member, b.State)
+		if record.startedFrom != c.UpSince { // once for each start: a new time is a new process to the gateway
+			record.startedAt, _ = l.started(c.UpSince)
+			record.startedFrom = c.UpSince
 		}
-		b.ID, b.Started, b.StartKnown = record.id, record.started, record.dated > 0
+		b.ID, b.Started, b.StartKnown = record.id, record.startedAt, record.startedFrom > 0
 		backends[i] = b
 	}
 	l.gateway.UpdateBackends(l.now(), choice.Delta, backends)
@@ -293,7 +293,7 @@
 // checkReady lets clients in once there is a backend. The list of the
 // configuration may be old, so discovery is asked first.
 func (l *loop) checkReady() {
-	if l.asked && l.pool.serving > 0 {
+	if l.asked && l.pool.availableBackends > 0 {
 		l.ready.Store(true)
 	}
 }
@@ -306,7 +306,7 @@
 	}
 	now := l.now()
 	byClock := now - time.UnixMilli(unixMillis).Sub(l.start)
-	return now - l.dates.age(byClock), true
+	return now - l.dates.estimateAge(byClock), true
 }
 
 // index is the place of a name in a list of the settings; a name that is not
@@ -327,9 +327,9 @@
 		repeatable: l.cfg.Choice.Classes[r.class].Effect == choice.Free}
 	r.attempts = append(r.attempts, a)
 	r.out++
-	l.pool.start(a, backend)
+	l.pool.startAttempt(a, backend)
 	if l.cfg.Log.Detailed() {
-		l.cfg.Log.AttemptSent(eventlog.AttemptSent{Request: r.requestID, Attempt: a.number, Backend: a.to.name, Kind: r.kind(), Timeout: timeout})
+		l.cfg.Log.AttemptSent(eventlog.AttemptSent{Request: r.requestID, Attempt: a.number, Backend: a.backend.name, Kind: r.kind(), Timeout: timeout})
 	}
 }
 
@@ -374,7 +374,7 @@
 
 // Probe asks a backend for its load.
 func (l *loop) Probe(backend uint32) {
-	l.pool.start(&attempt{repeatable: true, deadline: time.Now().Add(probeTimeout)}, backend)
+	l.pool.startAttempt(&attempt{repeatable: true, deadline: time.Now().Add(probeTimeout)}, backend)
 }
 
 // SetTimer sets a timer.
--- a/internal/ingress/pool.go
+++ b/internal/ingress/pool.go
@@ -13,77 +13,77 @@
 
 const (
 	// Kept connections may be reset at their next request, which then may have
-	// run. While more than staleMost of them are, of late, what can't be repeated
+	// run. While more than maxStaleRate of them are, of late, what can't be repeated
 	// goes on new ones; staleWeight is the weight of one attempt in that share.
-	staleMost   = 0.02
-	staleWeight = 0.05
-	// reuseRest is how long a connection rests after an answer. A second copy of
+	maxStaleRate         = 0.02
+	staleSmoothingFactor = 0.05
+	// reuseDelay is how long a connection rests after an answer. A second copy of
 	// it, or noise, may come behind, and nothing in an answer tells whose it is:
 	// given to the next request at once, that one would be served with it. The
 	// longest rested is taken first, and looked at once more (quiet).
-	reuseRest = 25 * time.Millisecond
+	reuseDelay = 25 * time.Millisecond
 )
 
 // pool holds the backends and the idle connections to them. Only the loop
 // calls its methods, but for those of attempts and connections.
 type pool struct {
-	cfg    *Config
-	ended  func(a *attempt, r reply, elapsed time.Duration, c *conn) // c is nil unless it can be used again
-	closed func(*conn)                                               // an idle connection has closed
-	dialer net.Dialer
-	byName map[string]*backend
-	byID   map[uint32]*backend
-	lastID uint32
+	cfg          *Config
+	onAttemptEnd func(a *attempt, r reply, elapsed time.Duration, c *conn) // c is nil unless it can be used again
+	onIdleClose  func(*conn)                                               // an idle connection has closed
+	dialer       net.Dialer
+	byName       map[string]*backend
+	byID         map[uint32]*backend
+	lastID       uint32
 	// What is counted or linked is so that no change of one backend, and no
 	// attempt, walks all of them.
-	serving int          // backends to send to
-	idle    *list.List   // idle connections to all backends, the longest idle first
-	stale   float64      // share of kept connections that were reset at their next request
-	open    atomic.Int64 // connections, those being dialled among them
+	availableBackends int          // backends to send to
+	idleConns         *list.List   // idle connections to all backends, the longest idle first
+	staleRate         float64      // share of kept connections that were reset at their next request
+	openConns         atomic.Int64 // connections, those being dialled among them
 }
 
 type backend struct {
-	id      uint32
-	name    string // discovery's id
-	addr    string
-	since   int64         // when it last started, as discovery tells it
-	dated   int64         // the date that started was worked out of
-	started time.Duration // on the gateway's clock; of no meaning where dated is 0
-	idle    []*conn       // the most recently used last, and taken last
-	stopped atomic.Bool   // nothing new may be sent to it
+	id          uint32
+	name        string // discovery's id
+	addr        string
+	upSince     int64         // when it last started, as discovery tells it
+	startedFrom int64         // the date that started was worked out of
+	startedAt   time.Duration // on the gateway's clock; of no meaning where dated is 0
+	idleConns   []*conn       // the most recently used last, and taken last
+	unavailable atomic.Bool   // nothing new may be sent to it
 }
 
 // newPool makes an empty pool. The calls come from the goroutines of connections.
-func newPool(cfg *Config, ended func(*attempt, reply, time.Duration, *conn), closed func(*conn)) *pool {
+func newPool(cfg *Config, onAttemptEnd func(*attempt, reply, time.Duration, *conn), onIdleClose func(*conn)) *pool {
 	return &pool{
-		cfg: cfg, ended: ended, closed: closed, dialer: net.Dialer{Timeout: cfg.connectTimeout},
-		byName: map[string]*backend{}, byID: map[uint32]*backend{}, idle: list.New(),
+		cfg: cfg, onAttemptEnd: onAttemptEnd, onIdleClose: onIdleClose, dialer: net.Dialer{Timeout: cfg.connectTimeout},
+		byName: map[string]*backend{}, byID: map[uint32]*backend{}, idleConns: list.New(),
 	}
 }
 
-// member takes what discovery says of one backend and returns its record.
-func (p *pool) member(m *membership.Member, state choice.State) *backend {
+// updateMember takes what discovery says of one backend and returns its record.
+func (p *pool) updateMember(m *membership.Member, state choice.State) *backend {
 	b := p.byName[m.ID]
 	switch {
 	case b == nil:
 		p.lastID++
-		b = p.add(p.lastID, m)
+		b = p.addBackend(p.lastID, m)
 	case b.addr != m.HostPort && m.HostPort != "":
 		// Attempts under way read the address: it moves to a new record.
-		p.stop(b)
-		moved := p.add(b.id, m)
-		moved.dated, moved.started = b.dated, b.started
-		b = moved
-	case b.since != m.UpSince:
+		p.markUnavailable(b)
+		replacement := p.addBackend(b.id, m)
+		replacement.startedFrom, replacement.startedAt = b.startedFrom, b.startedAt
+		b = replacement
+	case b.upSince != m.UpSince:
 		// It has started again. What is left of connections to the process
 		// before may stay open and silent for good.
-		p.retire(b)
+		p.closeIdle(b)
 	}
-	b.since = m.UpSince
+	b.upSince = m.UpSince
 	if state == choice.Ready {
-		p.resume(b)
+		p.markAvailable(b)
 	} else {
-		p.stop(b)
+		p.markUnavailable(b)
 	}
 	if state == choice.Removed {
 		delete(p.byName, m.ID)
@@ -92,105 +92,105 @@
 	return b
 }
 
-// add makes the record of a backend, to which nothing may be sent yet.
-func (p *pool) add(id uint32, m *membership.Member) *backend {
+// addBackend makes the record of a backend, to which nothing may be sent yet.
+func (p *pool) addBackend(id uint32, m *membership.Member) *backend {
 	b := &backend{id: id, name: m.ID, addr: m.HostPort}
-	b.stopped.Store(true)
+	b.unavailable.Store(true)
 	p.byName[m.ID], p.byID[id] = b, b
 	return b
 }
 
-// resume lets new requests go to a backend.
-func (p *pool) resume(b *backend) {
-	if b.stopped.CompareAndSwap(true, false) {
-		p.serving++
+// markAvailable lets new requests go to a backend.
+func (p *pool) markAvailable(b *backend) {
+	if b.unavailable.CompareAndSwap(true, false) {
+		p.availableBackends++
 	}
 }
 
-// stop lets nothing new go to a backend.
-func (p *pool) stop(b *backend) {
-	if b.stopped.CompareAndSwap(false, true) {
-		p.serving--
+// markUnavailable lets nothing new go to a backend.
+func (p *pool) markUnavailable(b *backend) {
+	if b.unavailable.CompareAndSwap(false, true) {
+		p.availableBackends--
 	}
-	p.retire(b)
+	p.closeIdle(b)
 }
 
-// retire closes the idle connections to a backend.
-func (p *pool) retire(b *backend) {
-	for _, c := range b.idle {
-		p.idle.Remove(c.place)
-		c.retire()
+// closeIdle closes the idle connections to a backend.
+func (p *pool) closeIdle(b *backend) {
+	for _, c := range b.idleConns {
+		p.idleConns.Remove(c.idleElement)
+		c.closeAsync()
 	}
-	b.idle = nil
+	b.idleConns = nil
 }
 
-// start sets an attempt going, on an idle connection if there is one. Its end
+// startAttempt sets an attempt going, on an idle connection if there is one. Its end
 // comes as an event.
-func (p *pool) start(a *attempt, id uint32) {
-	a.pool, a.started, a.wrote = p, time.Now(), make(chan struct{})
-	a.to = p.byID[id]
-	if a.to == nil { // taken off the list since: nothing is sent
-		a.to = &backend{id: id}
-		a.to.stopped.Store(true)
+func (p *pool) startAttempt(a *attempt, id uint32) {
+	a.pool, a.started, a.writeDone = p, time.Now(), make(chan struct{})
+	a.backend = p.byID[id]
+	if a.backend == nil { // taken off the list since: nothing is sent
+		a.backend = &backend{id: id}
+		a.backend.unavailable.Store(true)
 	}
 	var c *conn
-	if a.fresh = !a.repeatable && p.stale > staleMost; !a.fresh {
-		c = p.rested(a.to)
+	if a.dedicatedConn = !a.repeatable && p.staleRate > maxStaleRate; !a.dedicatedConn {
+		c = p.takeIdle(a.backend)
 	}
-	a.kept = c != nil
-	if most := p.cfg.Limits.backends(); c == nil && p.open.Load() >= int64(most-most/spareShare) {
-		p.evict()
+	a.reusedConn = c != nil
+	if maxConns := p.cfg.Limits.maxBackendConns(); c == nil && p.openConns.Load() >= int64(maxConns-maxConns/spareShare) {
+		p.evictIdle()
 	}
 	go a.run(c)
 }
 
-// rested takes the connection that has been idle for longest, if it has rested.
-func (p *pool) rested(b *backend) *conn {
-	if len(b.idle) == 0 || time.Since(b.idle[0].rested) < reuseRest {
+// takeIdle takes the connection that has been idle for longest, if it has takeIdle.
+func (p *pool) takeIdle(b *backend) *conn {
+	if len(b.idleConns) == 0 || time.Since(b.idleConns[0].idleSince) < reuseDelay {
 		return nil
 	}
-	c := b.idle[0]
-	p.forget(c)
+	c := b.idleConns[0]
+	p.removeIdle(c)
 	return c
 }
 
-// forget takes a connection out of the idle ones, if it is there.
-func (p *pool) forget(c *conn) {
-	if i := slices.Index(c.to.idle, c); i >= 0 {
-		c.to.idle = slices.Delete(c.to.idle, i, i+1)
-		p.idle.Remove(c.place)
+// removeIdle takes a connection out of the idle ones, if it is there.
+func (p *pool) removeIdle(c *conn) {
+	if i := slices.Index(c.backend.idleConns, c); i >= 0 {
+		c.backend.idleConns = slices.Delete(c.backend.idleConns, i, i+1)
+		p.idleConns.Remove(c.idleElement)
 	}
 }
 
-// judge takes how an attempt on a kept connection ended.
-func (p *pool) judge(a *attempt, status choice.Status) {
-	if !a.kept {
+// recordReuseOutcome takes how an attempt on a kept connection ended.
+func (p *pool) recordReuseOutcome(a *attempt, status choice.Status) {
+	if !a.reusedConn {
 		return
 	}
 	reset := 0.0
 	if status == choice.Reset {
 		reset = 1
 	}
-	p.stale += staleWeight * (reset - p.stale)
+	p.staleRate += staleSmoothingFactor * (reset - p.staleRate)
 }
 
-// evict closes the connection that has been idle for longest, to make room for
+// evictIdle closes the connection that has been idle for longest, to make room for
 // another backend's.
-func (p *pool) evict() {
-	if longest := p.idle.Front(); longest != nil {
-		c := longest.Value.(*conn)
-		p.forget(c)
-		c.retire()
+func (p *pool) evictIdle() {
+	if element := p.idleConns.Front(); element != nil {
+		c := element.Value.(*conn)
+		p.removeIdle(c)
+		c.closeAsync()
 	}
 }
 
-// put takes back a connection that has carried its answer.
-func (p *pool) put(c *conn) {
-	if p.byID[c.to.id] != c.to || c.to.stopped.Load() {
-		c.retire()
+// putIdle takes back a connection that has carried its answer.
+func (p *pool) putIdle(c *conn) {
+	if p.byID[c.backend.id] != c.backend || c.backend.unavailable.Load() {
+		c.closeAsync()
 		return
 	}
-	c.rested = time.Now()
-	c.to.idle = append(c.to.idle, c)
-	c.place = p.idle.PushBack(c)
+	c.idleSince = time.Now()
+	c.backend.idleConns = append(c.backend.idleConns, c)
+	c.idleElement = p.idleConns.PushBack(c)
 }
--- a/internal/ingress/pool_test.go
+++ b/internal/ingress/pool_test.go
@@ -12,29 +12,29 @@
 	"cedarseam/internal/membership"
 )
 
-// check holds what a pool counts and links against a walk over all backends.
-func (p *pool) check() error {
-	serving, idle := 0, 0
+// checkInvariants holds what a pool counts and links against a walk over all backends.
+func (p *pool) checkInvariants() error {
+	availableBackends, idleConns := 0, 0
 	for id, b := range p.byID {
 		if b.id != id || p.byName[b.name] != b {
 			return fmt.Errorf("backend %d is kept as %d and as %s", b.id, id, b.name)
 		}
-		if !b.stopped.Load() {
-			serving++
-		} else if len(b.idle) > 0 {
+		if !b.unavailable.Load() {
+			availableBackends++
+		} else if len(b.idleConns) > 0 {
 			return fmt.Errorf("backend %d is stopped and has idle connections", id)
 		}
-		idle += len(b.idle)
+		idleConns += len(b.idleConns)
 	}
-	if serving != p.serving || idle != p.idle.Len() || len(p.byID) != len(p.byName) {
-		return fmt.Errorf("%d serve and %d connections are idle, counted are %d and %d", serving, idle, p.serving, p.idle.Len())
+	if availableBackends != p.availableBackends || idleConns != p.idleConns.Len() || len(p.byID) != len(p.byName) {
+		return fmt.Errorf("%d serve and %d connections are idle, counted are %d and %d", availableBackends, idleConns, p.availableBackends, p.idleConns.Len())
 	}
 	return nil
 }
 
 // What a pool counts is what a walk over it finds, whatever is told of its
 // backends and whatever becomes of its connections.
-func TestCountsOfThePoolAreThoseOfAWalk(t *testing.T) {
+func TestPoolCountersMatchRecount(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := newPool(&Config{}, nil, nil)
 		var conns []*conn
@@ -42,7 +42,7 @@
 			name := fmt.Sprint("s", rapid.IntRange(0, 4).Draw(t, "backend"))
 			switch rapid.IntRange(0, 4).Draw(t, "event") {
 			case 0, 1:
-				p.member(&membership.Member{ID: name, HostPort: fmt.Sprint("a:", rapid.IntRange(0, 1).Draw(t, "address")),
+				p.updateMember(&membership.Member{ID: name, HostPort: fmt.Sprint("a:", rapid.IntRange(0, 1).Draw(t, "address")),
 					UpSince: int64(rapid.IntRange(0, 1).Draw(t, "start"))},
 					rapid.SampledFrom([]choice.State{choice.Ready, choice.Draining, choice.Removed}).Draw(t, "state"))
 			case 2:
@@ -50,18 +50,18 @@
 					near, far := net.Pipe()
 					defer near.Close()
 					defer far.Close()
-					c := &conn{nc: near, to: b, pool: p}
-					p.put(c)
+					c := &conn{nc: near, backend: b, pool: p}
+					p.putIdle(c)
 					conns = append(conns, c)
 				}
 			case 3:
 				if len(conns) > 0 {
-					p.forget(conns[rapid.IntRange(0, len(conns)-1).Draw(t, "connection")])
+					p.removeIdle(conns[rapid.IntRange(0, len(conns)-1).Draw(t, "connection")])
 				}
 			default:
-				p.evict()
+				p.evictIdle()
 			}
-			if err := p.check(); err != nil {
+			if err := p.checkInvariants(); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -69,22 +69,22 @@
 }
 
 // The connection that has been idle for longest makes room, whoever's it is.
-func TestLongestIdleConnectionMakesRoom(t *testing.T) {
+func TestEvictIdleClosesLongestIdleConnection(t *testing.T) {
 	p := newPool(&Config{}, nil, nil)
 	var conns []*conn
 	for i := range 3 {
 		m := &membership.Member{ID: fmt.Sprint(i), HostPort: fmt.Sprint("a:", i)}
-		p.member(m, choice.Ready)
+		p.updateMember(m, choice.Ready)
 		near, far := net.Pipe()
 		t.Cleanup(func() { near.Close(); far.Close() })
-		conns = append(conns, &conn{nc: near, to: p.byName[m.ID], pool: p})
+		conns = append(conns, &conn{nc: near, backend: p.byName[m.ID], pool: p})
 	}
 	for _, i := range []int{2, 0, 1} {
-		p.put(conns[i])
+		p.putIdle(conns[i])
 	}
 	for _, i := range []int{2, 0, 1} {
-		p.evict()
-		if len(conns[i].to.idle) > 0 {
+		p.evictIdle()
+		if len(conns[i].backend.idleConns) > 0 {
 			t.Fatalf("connection %d is idle still, want it to make room", i)
 		}
 	}
@@ -92,33 +92,33 @@
 
 // A connection that makes room takes a moment to close. So room is made before
 // the last place is taken: attempts that come meanwhile find one.
-func TestRoomIsMadeBeforeTheLastPlaceIsTaken(t *testing.T) {
+func TestIdleConnectionsAreEvictedBeforeTheLimit(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { listener.Close() })
 	listener.(*net.TCPListener).SetDeadline(time.Now().Add(patience))
-	cfg := &Config{Limits: Limits{Sockets: keptSockets + 200}}
+	cfg := &Config{Limits: Limits{Sockets: reservedSockets + 200}}
 	outcomes := make(chan choice.Status, 1)
 	p := newPool(cfg, func(_ *attempt, r reply, _ time.Duration, _ *conn) { outcomes <- r.status }, func(*conn) {})
 	for i := range 2 {
-		p.member(&membership.Member{ID: fmt.Sprint(i), HostPort: listener.Addr().String(), Phase: membership.PhaseServing}, choice.Ready)
+		p.updateMember(&membership.Member{ID: fmt.Sprint(i), HostPort: listener.Addr().String(), Phase: membership.PhaseServing}, choice.Ready)
 	}
-	most := cfg.Limits.backends()
-	spare := most / spareShare
+	maxConns := cfg.Limits.maxBackendConns()
+	spare := maxConns / spareShare
 	if spare < 2 {
-		t.Fatalf("%d places leave %d to spare, too few for the test", most, spare)
+		t.Fatalf("%d places leave %d to spare, too few for the test", maxConns, spare)
 	}
-	for range most - spare { // all idle, and none of them ever seen to close
+	for range maxConns - spare { // all idle, and none of them ever seen to close
 		near, far := net.Pipe()
 		t.Cleanup(func() { near.Close(); far.Close() })
-		p.open.Add(1)
-		p.put(&conn{nc: near, to: p.byName["0"], pool: p})
+		p.openConns.Add(1)
+		p.putIdle(&conn{nc: near, backend: p.byName["0"], pool: p})
 	}
 	for i := range spare {
 		a := &attempt{deadline: time.Now().Add(patience)}
-		p.start(a, p.byName["1"].id)
+		p.startAttempt(a, p.byName["1"].id)
 		if nc, err := listener.Accept(); err != nil {
 			t.Fatal(err)
 		} else {
@@ -126,18 +126,18 @@
 		}
 		select {
 		case status := <-outcomes:
-			t.Fatalf("attempt %d of %d ends with %d while %d of %d places are taken", i+1, spare, status, p.open.Load(), most)
+			t.Fatalf("attempt %d of %d ends with %d while %d of %d places are taken", i+1, spare, status, p.openConns.Load(), maxConns)
 		default:
 		}
 	}
-	if idle := p.idle.Len(); idle != most-2*spare {
+	if idle := p.idleConns.Len(); idle != maxConns-2*spare {
 		t.Errorf("%d connections are idle, want one less for each of %d attempts", idle, spare)
 	}
 }
 
 // A list holds the loop for one part of it at a time: what else happens comes in
 // between, and no part waits in the queue while another is not taken.
-func TestRequestsPassBetweenThePartsOfAList(t *testing.T) {
+func TestListChangesAreAppliedInBatches(t *testing.T) {
 	cfg, err := ParseConfig(fmt.Appendf(nil, `{"settings":%s}`, fmt.Sprintf(settings, 3600_000)))
 	if err != nil {
 		t.Fatal(err)
@@ -146,7 +146,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	const size = 10*changesAtOnce + 1
+	const size = 10*changeBatchSize + 1
 	var list membership.List
 	for i := range size {
 		list.Members = append(list.Members, &membership.Member{ID: fmt.Sprint(i), HostPort: fmt.Sprint("a:", i), Phase: membership.PhaseServing})
@@ -156,34 +156,34 @@
 		defer close(changed)
 		l.changeInParts(membership.NewView().Apply(list, nil))
 	}()
-	for taken := 0; taken < size; {
-		part := wait(t, "a part of the list", l.events)
-		passed := false
-		l.post(func(*loop) { passed = true })
-		if (<-l.events)(l); !passed {
+	for applied := 0; applied < size; {
+		batch := wait(t, "a part of the list", l.events)
+		handled := false
+		l.post(func(*loop) { handled = true })
+		if (<-l.events)(l); !handled {
 			t.Fatal("a second part waits before what came after the first")
 		}
-		part(l)
-		if n := len(l.pool.byName) - taken; n > changesAtOnce || n == 0 {
-			t.Fatalf("a part holds %d changes, want 1 to %d", n, changesAtOnce)
+		batch(l)
+		if n := len(l.pool.byName) - applied; n > changeBatchSize || n == 0 {
+			t.Fatalf("a part holds %d changes, want 1 to %d", n, changeBatchSize)
 		}
-		taken = len(l.pool.byName)
+		applied = len(l.pool.byName)
 	}
 	wait(t, "the end of the list", changed)
 }
 
 // A list that is in force, told again, holds the loop not at all: from the same
 // address or from another.
-func TestListThatChangesNothingDoesNotReachTheLoop(t *testing.T) {
+func TestUnchangedListIsNotDelivered(t *testing.T) {
 	delivered := 0
-	s := newSources(asked(1, 0), listLeast, membership.NewView(), func([]membership.Change) { delivered++ })
+	s := newDiscoverySources(serviceTiming(1, 0), minMaxListBytes, membership.NewView(), func([]membership.Change) { delivered++ })
 	defer s.close()
 	list := membership.List{Revision: 3, Complete: true, Members: []*membership.Member{{ID: "a", HostPort: "a:1"}}}
 	for _, address := range []string{"one", "two"} {
-		src := &source{address, func() {}}
-		s.begin(src)
-		s.take(src, list)
-		s.take(src, membership.List{Revision: 3})
+		src := &discoverySource{address, func() {}}
+		s.setPending(src)
+		s.handleList(src, list)
+		s.handleList(src, membership.List{Revision: 3})
 	}
 	if delivered != 1 {
 		t.Errorf("the loop was told %d times, want once", delivered)
--- a/internal/ingress/server.go
+++ b/internal/ingress/server.go
@@ -76,7 +76,7 @@
 		for {
 			select {
 			case addr := <-s.moves:
-				s.sources.follow(addr, nil, nil)
+				s.sources.switchTo(addr, nil, nil)
 			case <-s.loop.done:
 				return
 			}
@@ -131,7 +131,7 @@
 func (s *Server) room() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	most := s.cfg.Limits.clients()
+	most := s.cfg.Limits.maxClients()
 	if s.ending || len(s.clients) < most && len(s.clients)-s.leaving < most-most/spareShare {
 		return true
 	}
--- a/internal/ingress/shutdown_test.go
+++ b/internal/ingress/shutdown_test.go
@@ -274,13 +274,13 @@
 // and nothing behind it is read meanwhile: there is no time left for its answer.
 func TestHeldCommandIsStartedAndNothingBehindItRead(t *testing.T) {
 	r := newRig(t, nil, newBackend(t).member("b"))
-	b := newBench(t)
+	b := newConnFixture(t)
 	c := newClient(r.server, b.nc)
 	c.draining, c.firstCommandOnly, c.readingStopped = true, true, true
 	c.pending = make([]*slot, maxPipelinedCommands)
 	first, behind := encode("PING"), encode("PING")
-	fmt.Fprint(b.far, first)
-	r.eventually("the command to come", func(*loop) bool { return waiting(b.nc) })
+	fmt.Fprint(b.peer, first)
+	r.eventually("the command to come", func(*loop) bool { return hasUnreadBytes(b.nc) })
 	taken := make(chan error, 1)
 	go func() { taken <- c.readCommands() }()
 	isHeld := func() bool {
@@ -289,8 +289,8 @@
 		return c.pipelineFull
 	}
 	r.eventually("the command to be held", func(*loop) bool { return isHeld() })
-	fmt.Fprint(b.far, behind)
-	r.eventually("what is behind to come", func(*loop) bool { return waiting(b.nc) })
+	fmt.Fprint(b.peer, behind)
+	r.eventually("what is behind to come", func(*loop) bool { return hasUnreadBytes(b.nc) })
 	c.mu.Lock() // as the writer does
 	c.pending, c.pipelineFull = nil, false
 	c.mu.Unlock()
@@ -298,10 +298,10 @@
 	if err := wait(t, "the reader's end", taken); !errors.Is(err, errReadingStopped) {
 		t.Errorf("the reader ends with %v", err)
 	}
-	if got := readUnread(t, b.far, len("+PONG\r\n")); got != "+PONG\r\n" {
+	if got := readUnread(t, b.peer, len("+PONG\r\n")); got != "+PONG\r\n" {
 		t.Errorf("the held command is answered %q", got)
 	}
-	if !waiting(b.nc) {
+	if !hasUnreadBytes(b.nc) {
 		t.Error("what is behind has been read")
 	}
 }
@@ -311,7 +311,7 @@
 // these cause waits for the answer.
 func TestAnswerThatIsNotTakenOutlastsTheLinger(t *testing.T) {
 	r := newRig(t, nil, newBackend(t).member("b"))
-	b := newBench(t)
+	b := newConnFixture(t)
 	c := newClient(r.server, b.nc)
 	answers, stuck := 0, 0
 	r.eventually("the client's machine to take no more", func(*loop) bool {
@@ -331,7 +331,7 @@
 		}
 		return !sending && stuck > 10 // not for a moment only
 	})
-	fmt.Fprint(b.far, encode("PING")) // it crosses the end
+	fmt.Fprint(b.peer, encode("PING")) // it crosses the end
 	over := make(chan struct{})
 	go func() {
 		c.flushAndLinger()
@@ -343,7 +343,7 @@
 	case <-time.After(2 * lingerTimeout):
 	}
 	got := make([]byte, answers*maxValueBytes)
-	if n, err := io.ReadFull(b.far, got); err != nil {
+	if n, err := io.ReadFull(b.peer, got); err != nil {
 		t.Errorf("the client gets %d of %d bytes, %v", n, len(got), err)
 	}
 	wait(t, "the end of the connection", over)
@@ -353,15 +353,15 @@
 // reader looks, is answered though nothing more is read.
 func TestFirstCommandThatHasComeIsAnsweredAtTheEnd(t *testing.T) {
 	r := newRig(t, nil, newBackend(t).member("b"))
-	b := newBench(t)
-	fmt.Fprint(b.far, encode("PING"))
-	for b.quiet() { // until it has come
+	b := newConnFixture(t)
+	fmt.Fprint(b.peer, encode("PING"))
+	for b.nothingToRead() { // until it has come
 		time.Sleep(time.Millisecond)
 	}
 	c := newClient(r.server, b.nc)
 	c.draining, c.firstCommandOnly, c.readingStopped = true, true, true
 	go c.serve()
-	if got, err := io.ReadAll(b.far); string(got) != "+PONG\r\n" || err != nil {
+	if got, err := io.ReadAll(b.peer); string(got) != "+PONG\r\n" || err != nil {
 		t.Errorf("the client gets %q, %v", got, err)
 	}
 }
@@ -372,7 +372,7 @@
 	defer r.server.mu.Unlock()
 	for other := range r.server.clients {
 		if other.nc.RemoteAddr().String() == c.nc.LocalAddr().String() {
-			return waiting(other.nc)
+			return hasUnreadBytes(other.nc)
 		}
 	}
 	return false
--- a/internal/ingress/size_test.go
+++ b/internal/ingress/size_test.go
@@ -10,8 +10,8 @@
 	"cedarseam/internal/membership"
 )
 
-// heap is what is in use after a collection.
-func heap() int64 {
+// heapInUse is what is in use after a collection.
+func heapInUse() int64 {
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
@@ -21,9 +21,9 @@
 // A tier of 1,024 ingresses and 1,024 backends is followed whole, by the list,
 // by changes and by requests of a thousand customers whose sets are as large,
 // well inside the least memory that is told on any day played.
-func TestThousandBackendsAndIngressesFitTheMemory(t *testing.T) {
-	const size, told = 1024, 64 << 20
-	before := heap()
+func TestMemoryOfThousandBackendsAndIngresses(t *testing.T) {
+	const size, memoryLimit = 1024, 64 << 20
+	before := heapInUse()
 	b := newBackend(t)
 	members := []*membership.Member{b.member("real")}
 	for i := 1; i < size; i++ { // nobody listens there
@@ -32,21 +32,21 @@
 	}
 	r := newRig(t, func(cfg *Config) {
 		cfg.Choice.Gateways, cfg.Choice.Probing = size, false
-		cfg.Limits.MemoryMB = told >> 20
+		cfg.Limits.MemoryMB = memoryLimit >> 20
 		cfg.Choice.Plans[0] = choice.Plan{Rate: 1000, Burst: 1000, Price: 1, CeilingRate: 1e6, CeilingBurst: 1e6}
 	}, members...)
-	known := func(want int) {
+	waitForBackends := func(want int) {
 		t.Helper()
 		r.eventually(fmt.Sprint(want, " backends"), func(l *loop) bool { return len(l.pool.byName) == want })
 	}
-	known(size)
+	waitForBackends(size)
 	wait(t, "a watch", r.discovery.watched)
 
 	c := r.dial()
-	wide := strings.Replace(lookup, "spread=1", fmt.Sprintf("spread=%d", size), 1)
+	wideLookup := strings.Replace(lookup, "spread=1", fmt.Sprintf("spread=%d", size), 1)
 	served := 0
 	for i := range 1000 {
-		c.send("Q.ASK", fmt.Sprintf("%016x", 1<<20+i), newID(), wide)
+		c.send("Q.ASK", fmt.Sprintf("%016x", 1<<20+i), newID(), wideLookup)
 		answer := make(chan string, 1)
 		go func() { answer <- c.line() }()
 		select {
@@ -70,9 +70,9 @@
 		r.discovery.lines <- fmt.Sprintf(`{"revision":%d,"complete":true,"members":[%s]}`, revision, strings.Join(lines, ","))
 	}
 	r.eventually("the last list", func(l *loop) bool { return l.pool.byName["s-27-00000001"] != nil })
-	known(size)
-	if used := heap() - before; used > told/4 {
-		t.Errorf("%d KB are in use, want a quarter of the %d MB told at most", used>>10, told>>20)
+	waitForBackends(size)
+	if used := heapInUse() - before; used > memoryLimit/4 {
+		t.Errorf("%d KB are in use, want a quarter of the %d MB told at most", used>>10, memoryLimit>>20)
 	} else {
 		t.Logf("%d KB in use, %d requests served", used>>10, served)
 	}
--- a/internal/ingress/sources.go
+++ b/internal/ingress/sources.go
@@ -7,90 +7,90 @@
 	"cedarseam/internal/membership"
 )
 
-// sources follows discovery at one address, and moves to another without a gap:
+// discoverySources follows discovery at one address, and moves to another without a gap:
 // the address before stays in force until the new one has told its whole list.
 // What a list changes is worked out here, beside the loop.
-type sources struct {
-	pace    pace
-	most    int                       // bytes of one list
-	deliver func([]membership.Change) // returns once they are in force
-	applied func(revision int64)      // called once all of a list is in force
-	moved   func(address string)      // called when the list of another address takes the place of the one before
-	ctx     context.Context
-	close   context.CancelFunc
+type discoverySources struct {
+	timing       discoveryTiming
+	maxListBytes int                       // bytes of one list
+	deliver      func([]membership.Change) // returns once they are in force
+	onApplied    func(revision int64)      // called once all of a list is in force
+	onSwitch     func(address string)      // called when the list of another address takes the place of the one before
+	ctx          context.Context
+	close        context.CancelFunc
 
-	mu      sync.Mutex // held while a list is delivered, so that lists come in order
-	current *source    // whose list is in force
-	next    *source    // which has told nothing yet
+	mu      sync.Mutex       // held while a list is delivered, so that lists come in order
+	current *discoverySource // whose list is in force
+	pending *discoverySource // which has told nothing yet
 	view    *membership.View
 }
 
-type source struct {
+type discoverySource struct {
 	address string
-	leave   context.CancelFunc
+	cancel  context.CancelFunc
 }
 
-// newSources starts from the view given.
-func newSources(p pace, most int, view *membership.View, deliver func([]membership.Change)) *sources {
-	s := &sources{pace: p, most: most, view: view, deliver: deliver, applied: func(int64) {}, moved: func(string) {}}
+// newDiscoverySources starts from the view given.
+func newDiscoverySources(timing discoveryTiming, maxListBytes int, view *membership.View, deliver func([]membership.Change)) *discoverySources {
+	s := &discoverySources{timing: timing, maxListBytes: maxListBytes, view: view, deliver: deliver, onApplied: func(int64) {}, onSwitch: func(string) {}}
 	s.ctx, s.close = context.WithCancel(context.Background())
 	return s
 }
 
-// follow moves to an address. known is the list held as that address told it,
+// switchTo moves to an address. known is the list held as that address told it,
 // or nil. started, if it is not nil, is called after the first try, whether it
 // went well or not.
-func (s *sources) follow(address string, known *membership.List, started func()) {
-	ctx, leave := context.WithCancel(s.ctx)
-	src := &source{address, leave}
-	if !s.begin(src) {
-		leave()
+func (s *discoverySources) switchTo(address string, lastKnown *membership.List, onFirstResult func()) {
+	ctx, cancel := context.WithCancel(s.ctx)
+	src := &discoverySource{address, cancel}
+	if !s.setPending(src) {
+		cancel()
 		return
 	}
-	d := newDiscovery(address, s.pace, s.most, func(l membership.List) { s.take(src, l) })
+	client := newDiscoveryClient(address, s.timing, s.maxListBytes, func(l membership.List) { s.handleList(src, l) })
 	go func() {
-		d.run(ctx, known, started)
-		d.client.CloseIdleConnections()
+		client.run(ctx, lastKnown, onFirstResult)
+		client.httpClient.CloseIdleConnections()
 	}()
 }
 
-// begin makes a source the next one. It returns false if its address is
+// setPending makes a source the next one. It returns false if its address is
 // followed already: what that one tells is in force, or will be.
-func (s *sources) begin(src *source) bool {
+func (s *discoverySources) setPending(src *discoverySource) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.next != nil {
-		if s.next.address == src.address {
+	if s.pending != nil {
+		if s.pending.address == src.address {
 			return false
 		}
-		s.next.leave()
-		s.next = nil
+		s.pending.cancel()
+		s.pending = nil
 	}
 	if s.current != nil && s.current.address == src.address {
 		return false
 	}
-	s.next = src
+	s.pending = src
 	return true
 }
 
-// take hands on what a list of a source changes. Revisions of one address mean
+// handleList hands on what a list of a source changes. Revisions of one address mean
 // nothing at another, so a line of the old one that comes after the list of the
 // new one is dropped.
-func (s *sources) take(from *source, l membership.List) {
+func (s *discoverySources) handleList(from *discoverySource, list membership.List) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if from == s.next {
+	if from == s.pending {
 		if s.current != nil {
-			s.current.leave()
+			s.current.cancel()
 		}
-		s.current, s.next = from, nil
-		s.moved(from.address)
+		s.current, s.pending = from, nil
+		s.onSwitch(from.address)
 	}
 	if from != s.current {
 		return
 	}
-	if changes := s.view.Apply(l, newPacer().pause); len(changes) > 0 {
+	if changes := s.view.Apply(list, newPacer().pause); len(changes) > 0 {
 		s.deliver(changes)
 	}
-	s.applied(l.Revision)
+	s.onApplied(list.Revision)
 }
--- a/internal/scale/hollow.go
+++ b/internal/scale/hollow.go
@@ -75,7 +75,7 @@
 			return err
 		}
 		config.Discovery = agent
-		control, err := ingress.NewControl(config, func(revision int64) { log.add(number, revision) })
+		control, err := ingress.NewControlPlane(config, func(revision int64) { log.add(number, revision) })
 		if err != nil {
 			return err
 		}
--- a/internal/scale/list.go
+++ b/internal/scale/list.go
@@ -30,17 +30,17 @@
 	values := map[string][]float64{}
 	for range repeats {
 		before := heapInUse()
-		control, err := ingress.NewControl(config, nil)
+		control, err := ingress.NewControlPlane(config, nil)
 		if err != nil {
 			return nil, err
 		}
 		for _, pass := range []string{"first", "again"} {
-			applied, err := control.Apply(text)
+			applied, err := control.ApplyList(text)
 			if err != nil {
 				return nil, fmt.Errorf("%s: %w", path, err)
 			}
-			values[pass+": decode and compare"] = append(values[pass+": decode and compare"], milliseconds(applied.Decode))
-			values[pass+": longest hold of the loop"] = append(values[pass+": longest hold of the loop"], milliseconds(applied.Longest))
+			values[pass+": decode and compare"] = append(values[pass+": decode and compare"], milliseconds(applied.DecodeTime))
+			values[pass+": longest hold of the loop"] = append(values[pass+": longest hold of the loop"], milliseconds(applied.MaxBatchTime))
 		}
 		values["memory"] = append(values["memory"], float64(heapInUse()-before)/1e6)
 	}
--- a/internal/scale/slopes.go
+++ b/internal/scale/slopes.go
@@ -108,19 +108,19 @@
 		return err
 	}
 	before := heapInUse()
-	control, err := ingress.NewControl(config, nil)
+	control, err := ingress.NewControlPlane(config, nil)
 	if err != nil {
 		return err
 	}
 	apply := func(name string, list membership.List) error {
 		runtime.GC() // earlier garbage must not be collected during the measurement
-		applied, err := control.Apply(encodeList(list))
+		applied, err := control.ApplyList(encodeList(list))
 		if err != nil {
 			return err
 		}
-		m.record(name+": decode and compare", "ms", size, milliseconds(applied.Decode))
-		m.record(name+": on the loop", "ms", size, milliseconds(applied.Loop))
-		m.record(name+": longest hold of the loop", "ms", size, milliseconds(applied.Longest))
+		m.record(name+": decode and compare", "ms", size, milliseconds(applied.DecodeTime))
+		m.record(name+": on the loop", "ms", size, milliseconds(applied.LoopTime))
+		m.record(name+": longest hold of the loop", "ms", size, milliseconds(applied.MaxBatchTime))
 		return nil
 	}
 	if err := apply("first list", fleet); err != nil {
