--- a/internal/ingress/config.go
+++ b/internal/ingress/config.go
@@ -46,10 +46,10 @@
 	defaultSockets        = 1024
 	defaultMemoryMB       = 192
 	listMemoryDivisor     = 16      // of the memory: what the text of one list may take
-	minMaxListBytes       = 4 << 20 // bytes that it may take in any case
+	listBytesFloor        = 4 << 20 // bytes that it may take in any case
 	customerMemoryDivisor = 4       // of the memory: what the records of customers may take
 	bytesPerCustomer      = 1400    // of one record, as measured
-	minMaxCustomers       = 1024    // records that are kept in any case
+	customersFloor        = 1024    // records that are kept in any case
 )
 
 // Apply sets the Go runtime's bounds for the whole process.
@@ -67,11 +67,11 @@
 }
 
 // maxListBytes bounds the text of a maxListBytes of backends, in bytes.
-func (l Limits) maxListBytes() int { return max(minMaxListBytes, l.MemoryMB<<20/listMemoryDivisor) }
+func (l Limits) maxListBytes() int { return max(listBytesFloor, l.MemoryMB<<20/listMemoryDivisor) }
 
 // maxCustomers bounds the records of maxCustomers.
 func (l Limits) maxCustomers() int {
-	return max(minMaxCustomers, l.MemoryMB<<20/customerMemoryDivisor/bytesPerCustomer)
+	return max(customersFloor, l.MemoryMB<<20/customerMemoryDivisor/bytesPerCustomer)
 }
 
 // Config is all that one ingress is told at its start.
--- a/internal/ingress/conn_test.go
+++ b/internal/ingress/conn_test.go
@@ -256,35 +256,35 @@
 	}
 	t.Cleanup(func() { nc.Close(); peer.Close() })
 	peer.SetDeadline(time.Now().Add(patience))
-	b := &connFixture{peer: peer, outcomes: make(chan choice.Status, 1)}
-	p := newPool(&cfg, func(_ *attempt, r reply, _ time.Duration, _ *conn) { b.outcomes <- r.status }, func(*conn) {})
-	b.conn = &conn{nc: nc, backend: &backend{id: 1, addr: ln.Addr().String()}, pool: p}
-	return b
+	f := &connFixture{peer: peer, outcomes: make(chan choice.Status, 1)}
+	p := newPool(&cfg, func(_ *attempt, r reply, _ time.Duration, _ *conn) { f.outcomes <- r.status }, func(*conn) {})
+	f.conn = &conn{nc: nc, backend: &backend{id: 1, addr: ln.Addr().String()}, pool: p}
+	return f
 }
 
 // newAttempt makes an newAttempt of a payment for the connection's backend.
-func (b *connFixture) newAttempt(t *testing.T) *attempt {
+func (f *connFixture) newAttempt(t *testing.T) *attempt {
 	t.Helper()
-	cmd, err := b.pool.cfg.parseCommand([][]byte{
+	cmd, err := f.pool.cfg.parseCommand([][]byte{
 		[]byte("Q.DO"), []byte(anyone), []byte(someID), []byte(payment), []byte("BODY")})
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &attempt{pool: b.pool, request: &request{command: cmd}, backend: b.backend, started: time.Now(),
+	return &attempt{pool: f.pool, request: &request{command: cmd}, backend: f.backend, started: time.Now(),
 		deadline: time.Now().Add(patience), writeDone: make(chan struct{})}
 }
 
 // wantNoBytes tells that the other end saw the connection end without a byte.
-func (b *connFixture) wantNoBytes(t *testing.T) {
+func (f *connFixture) wantNoBytes(t *testing.T) {
 	t.Helper()
-	if got, err := io.ReadAll(b.peer); err != nil || len(got) > 0 {
+	if got, err := io.ReadAll(f.peer); err != nil || len(got) > 0 {
 		t.Errorf("the backend got %q, %v; want nothing", got, err)
 	}
 }
 
-func (b *connFixture) wantStatus(t *testing.T, status choice.Status) {
+func (f *connFixture) wantStatus(t *testing.T, status choice.Status) {
 	t.Helper()
-	if got := wait(t, "the outcome", b.outcomes); got != status {
+	if got := wait(t, "the outcome", f.outcomes); got != status {
 		t.Errorf("outcome %d, want %d", got, status)
 	}
 }
@@ -292,61 +292,61 @@
 // A backend that is told to drain while an attempt waits for its connection
 // gets nothing of it, and the attempt counts as never run.
 func TestDrainingBackendGetsNoNewAttempt(t *testing.T) {
-	b := newConnFixture(t)
-	b.backend.unavailable.Store(true)
-	a := b.newAttempt(t)
-	b.send(a)
-	go b.readAnswers()
-	b.wantStatus(t, choice.ConnectFailed)
-	b.wantNoBytes(t)
-
-	a = b.newAttempt(t) // and no new connection either
-	b.pool.dialer.Control = func(string, string, syscall.RawConn) error {
+	f := newConnFixture(t)
+	f.backend.unavailable.Store(true)
+	a := f.newAttempt(t)
+	f.send(a)
+	go f.readAnswers()
+	f.wantStatus(t, choice.ConnectFailed)
+	f.wantNoBytes(t)
+
+	a = f.newAttempt(t) // and no new connection either
+	f.pool.dialer.Control = func(string, string, syscall.RawConn) error {
 		t.Error("a draining backend gets a new connection")
 		return nil
 	}
 	a.run(nil)
-	b.wantStatus(t, choice.ConnectFailed)
+	f.wantStatus(t, choice.ConnectFailed)
 }
 
 func TestAbortCancelsDial(t *testing.T) {
-	b := newConnFixture(t)
-	a := b.newAttempt(t)
-	b.pool.dialer.ControlContext = func(ctx context.Context, _, _ string, _ syscall.RawConn) error {
+	f := newConnFixture(t)
+	a := f.newAttempt(t)
+	f.pool.dialer.ControlContext = func(ctx context.Context, _, _ string, _ syscall.RawConn) error {
 		a.abort()
 		<-ctx.Done()
 		return ctx.Err()
 	}
 	a.deadline = time.Now().Add(2 * patience)
-	b.pool.dialer.Timeout = 2 * patience
+	f.pool.dialer.Timeout = 2 * patience
 	go a.run(nil)
-	b.wantStatus(t, choice.ConnectFailed)
+	f.wantStatus(t, choice.ConnectFailed)
 }
 
 // The loop may hand out a connection that has closed a moment ago: nothing was
 // written, so the attempt takes a new one.
 func TestSendFailsOnClosedConnection(t *testing.T) {
-	b := newConnFixture(t)
-	b.peer.Close()
-	b.readAnswers()
-	if b.send(b.newAttempt(t)) {
+	f := newConnFixture(t)
+	f.peer.Close()
+	f.readAnswers()
+	if f.send(f.newAttempt(t)) {
 		t.Error("an attempt is sent on a closed connection")
 	}
 }
 
 func TestAbortBeforeFirstByteCountsAsUnsent(t *testing.T) {
-	b := newConnFixture(t)
-	a := b.newAttempt(t)
+	f := newConnFixture(t)
+	a := f.newAttempt(t)
 	a.abort()
-	b.send(a)
-	go b.readAnswers()
-	b.wantStatus(t, choice.ConnectFailed)
-	b.wantNoBytes(t)
+	f.send(a)
+	go f.readAnswers()
+	f.wantStatus(t, choice.ConnectFailed)
+	f.wantNoBytes(t)
 
-	a = b.newAttempt(t)
+	a = f.newAttempt(t)
 	a.abort()
 	a.run(nil)
-	b.wantStatus(t, choice.ConnectFailed)
+	f.wantStatus(t, choice.ConnectFailed)
 }
 
 // Where the settings allow no cancels, a request whose client has left while a
@@ -382,26 +382,26 @@
 }
 
 func TestFinishedRequestCancelsOnlyUnsentAttempts(t *testing.T) {
-	b := newConnFixture(t)
-	a := b.newAttempt(t)
+	f := newConnFixture(t)
+	a := f.newAttempt(t)
 	a.cancelUnsent() // while it waited for its connection
-	b.send(a)
-	go b.readAnswers()
-	b.wantStatus(t, choice.CancelledBeforeSend)
-	b.wantNoBytes(t)
+	f.send(a)
+	go f.readAnswers()
+	f.wantStatus(t, choice.CancelledBeforeSend)
+	f.wantNoBytes(t)
 
-	a = b.newAttempt(t)
+	a = f.newAttempt(t)
 	a.cancelUnsent()
 	a.run(nil)
-	b.wantStatus(t, choice.CancelledBeforeSend)
+	f.wantStatus(t, choice.CancelledBeforeSend)
 
-	b = newConnFixture(t)
-	a = b.newAttempt(t)
-	b.send(a)
+	f = newConnFixture(t)
+	a = f.newAttempt(t)
+	f.send(a)
 	a.cancelUnsent() // one that is out goes on
-	go b.readAnswers()
-	fmt.Fprint(b.peer, "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n")
-	b.wantStatus(t, choice.OK)
+	go f.readAnswers()
+	fmt.Fprint(f.peer, "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n")
+	f.wantStatus(t, choice.OK)
 }
 
 // shortWriteConn loses its peer before the last byte.
@@ -413,27 +413,27 @@
 }
 
 func TestIncompleteWriteCountsAsUnsent(t *testing.T) {
-	b := newConnFixture(t)
-	b.nc = shortWriteConn{b.nc}
-	b.send(b.newAttempt(t))
-	go b.readAnswers()
-	b.wantStatus(t, choice.ConnectFailed)
+	f := newConnFixture(t)
+	f.nc = shortWriteConn{f.nc}
+	f.send(f.newAttempt(t))
+	go f.readAnswers()
+	f.wantStatus(t, choice.ConnectFailed)
 }
 
 // The time of an idle connection that runs out just as an attempt starts is
 // not the attempt's.
 func TestIdleDeadlineDoesNotEndAttempt(t *testing.T) {
-	b := newConnFixture(t)
-	a := b.newAttempt(t)
-	b.send(a)
-	b.closeAsync() // as if the idle deadline had passed
-	go b.readAnswers()
+	f := newConnFixture(t)
+	a := f.newAttempt(t)
+	f.send(a)
+	f.closeAsync() // as if the idle deadline had passed
+	go f.readAnswers()
 	if got := a.statusAfterError(os.ErrDeadlineExceeded); got != choice.OK {
 		t.Errorf("the attempt ends with %d", got)
 	}
-	b.nc.SetDeadline(a.deadline)
-	fmt.Fprint(b.peer, "-BUSY\r\n")
-	b.wantStatus(t, choice.Refused)
+	f.nc.SetDeadline(a.deadline)
+	fmt.Fprint(f.peer, "-BUSY\r\n")
+	f.wantStatus(t, choice.Refused)
 }
 
 // No second attempt may overlap: the connection is closed before the outcome is told.
@@ -448,18 +448,18 @@
 			a.conn.nc.SetDeadline(a.deadline)
 		}, choice.Timeout},
 	} {
-		b := newConnFixture(t)
+		f := newConnFixture(t)
 		closed := false
-		b.pool.onAttemptEnd = func(_ *attempt, r reply, _ time.Duration, _ *conn) {
-			_, err := b.nc.Write([]byte("x"))
+		f.pool.onAttemptEnd = func(_ *attempt, r reply, _ time.Duration, _ *conn) {
+			_, err := f.nc.Write([]byte("x"))
 			closed = errors.Is(err, net.ErrClosed)
-			b.outcomes <- r.status
+			f.outcomes <- r.status
 		}
-		a := b.newAttempt(t)
-		b.send(a)
+		a := f.newAttempt(t)
+		f.send(a)
 		c.end(a)
-		go b.readAnswers()
-		b.wantStatus(t, c.want)
+		go f.readAnswers()
+		f.wantStatus(t, c.want)
 		if !closed {
 			t.Errorf("outcome %d was told on an open connection", c.want)
 		}
@@ -469,39 +469,39 @@
 // A second copy of an answer, or noise, may come behind it. Nothing tells whose
 // an answer is, so the next request must not be on that connection by then.
 func TestReuseDelay(t *testing.T) {
-	b := newConnFixture(t)
-	p := b.pool
-	p.byID[b.backend.id] = b.backend
-	other := &conn{nc: b.nc, backend: b.backend, pool: p}
-	p.putIdle(b.conn)
+	f := newConnFixture(t)
+	p := f.pool
+	p.byID[f.backend.id] = f.backend
+	other := &conn{nc: f.nc, backend: f.backend, pool: p}
+	p.putIdle(f.conn)
 	p.putIdle(other)
-	if c := p.takeIdle(b.backend); c != nil {
+	if c := p.takeIdle(f.backend); c != nil {
 		t.Error("a connection is used again at once")
 	}
-	for _, c := range b.backend.idleConns {
+	for _, c := range f.backend.idleConns {
 		c.idleSince = c.idleSince.Add(-reuseDelay)
 	}
-	if c := p.takeIdle(b.backend); c != b.conn {
+	if c := p.takeIdle(f.backend); c != f.conn {
 		t.Error("the longest rested one is not taken first")
 	}
-	if len(b.backend.idleConns) != 1 || b.backend.idleConns[0] != other {
-		t.Errorf("%d connections are idle, want the other one", len(b.backend.idleConns))
+	if len(f.backend.idleConns) != 1 || f.backend.idleConns[0] != other {
+		t.Errorf("%d connections are idle, want the other one", len(f.backend.idleConns))
 	}
 }
 
 // What has come already is seen before the first byte of the next request,
 // which then goes elsewhere unharmed.
 func TestConnectionWithUnreadBytesIsNotReused(t *testing.T) {
-	b := newConnFixture(t)
-	fmt.Fprint(b.peer, "noise")
-	for b.nothingToRead() { // until it has come
+	f := newConnFixture(t)
+	fmt.Fprint(f.peer, "noise")
+	for f.nothingToRead() { // until it has come
 		time.Sleep(time.Millisecond)
 	}
-	if b.send(b.newAttempt(t)) {
+	if f.send(f.newAttempt(t)) {
 		t.Error("the connection is used")
 	}
-	b.readAnswers()
-	if err := b.nc.SetDeadline(time.Time{}); !errors.Is(err, net.ErrClosed) {
+	f.readAnswers()
+	if err := f.nc.SetDeadline(time.Time{}); !errors.Is(err, net.ErrClosed) {
 		t.Errorf("the connection is open: %v", err)
 	}
 }
@@ -509,13 +509,13 @@
 // A backend with too many connections may end a new one at once: the attempt on
 // it never ran, and must end all the same.
 func TestAttemptOnImmediatelyClosedConnectionCountsAsUnsent(t *testing.T) {
-	b := newConnFixture(t)
-	b.peer.Close()
-	for b.nothingToRead() { // until its end has come
+	f := newConnFixture(t)
+	f.peer.Close()
+	for f.nothingToRead() { // until its end has come
 		time.Sleep(time.Millisecond)
 	}
-	go b.newAttempt(t).runOnConn(b.conn)
-	b.wantStatus(t, choice.ConnectFailed)
+	go f.newAttempt(t).runOnConn(f.conn)
+	f.wantStatus(t, choice.ConnectFailed)
 }
 
 // While kept connections are reset at their next request, a payment on one
@@ -553,11 +553,11 @@
 
 // An answer read late, in two parts, is whole all the same.
 func TestAnswerInTwoParts(t *testing.T) {
-	b := newConnFixture(t)
-	a := b.newAttempt(t)
-	b.send(a)
-	go b.readAnswers()
-	fmt.Fprint(b.peer, "*3\r\n$1\r\n")
-	fmt.Fprint(b.peer, "v\r\n$-1\r\n$-1\r\n")
-	b.wantStatus(t, choice.OK)
+	f := newConnFixture(t)
+	a := f.newAttempt(t)
+	f.send(a)
+	go f.readAnswers()
+	fmt.Fprint(f.peer, "*3\r\n$1\r\n")
+	fmt.Fprint(f.peer, "v\r\n$-1\r\n$-1\r\n")
+	f.wantStatus(t, choice.OK)
 }
--- a/internal/ingress/discovery_test.go
+++ b/internal/ingress/discovery_test.go
@@ -76,7 +76,7 @@
 	f := newFakeDiscovery(t, b.member("b"))
 	close(f.gate)
 	got := make(chan membership.List, 10)
-	d := newDiscoveryClient(f.Listener.Addr().String(), serviceTiming(1, 0), minMaxListBytes, func(l membership.List) { got <- l })
+	d := newDiscoveryClient(f.Listener.Addr().String(), serviceTiming(1, 0), listBytesFloor, func(l membership.List) { got <- l })
 	d.silenceTimeout = 50 * time.Millisecond
 	go d.run(t.Context(), nil, nil)
 	if l := wait(t, "the list", got); !l.Complete || len(l.Members) != 1 || *l.Members[0] != *b.member("b") {
@@ -88,7 +88,7 @@
 
 func TestDiscoveryIsRetried(t *testing.T) {
 	f := newFakeDiscovery(t)
-	d := newDiscoveryClient(f.Listener.Addr().String(), serviceTiming(1, 0), minMaxListBytes, func(membership.List) {})
+	d := newDiscoveryClient(f.Listener.Addr().String(), serviceTiming(1, 0), listBytesFloor, func(membership.List) {})
 	d.startupTimeout = 20 * time.Millisecond
 	started := make(chan struct{}, 10)
 	go d.run(t.Context(), nil, func() { started <- struct{}{} })
@@ -104,7 +104,7 @@
 	b := newBackend(t)
 	f := newFakeDiscovery(t, b.member("b")) // its gate is closed: the whole list is never told
 	got, started := make(chan membership.List, 10), make(chan struct{}, 10)
-	d := newDiscoveryClient(f.Listener.Addr().String(), serviceTiming(1, 0), minMaxListBytes, func(l membership.List) { got <- l })
+	d := newDiscoveryClient(f.Listener.Addr().String(), serviceTiming(1, 0), listBytesFloor, func(l membership.List) { got <- l })
 	d.startupTimeout = time.Hour
 	go d.run(t.Context(), &membership.List{Revision: 5, Complete: true}, func() { started <- struct{}{} })
 	if index := wait(t, "a watch", f.watched); index != "5" {
@@ -126,7 +126,7 @@
 // list that is known serves until it answers.
 func TestStartupDoesNotWaitForUnansweredWatch(t *testing.T) {
 	f := newFakeDiscovery(t)
-	d := newDiscoveryClient(f.Listener.Addr().String(), serviceTiming(1, 0), minMaxListBytes, func(membership.List) {})
+	d := newDiscoveryClient(f.Listener.Addr().String(), serviceTiming(1, 0), listBytesFloor, func(membership.List) {})
 	d.startupTimeout = time.Millisecond
 	started := make(chan struct{}, 10)
 	go d.run(t.Context(), &membership.List{Complete: true}, func() { started <- struct{}{} })
@@ -139,7 +139,7 @@
 func TestIndentedLists(t *testing.T) {
 	f := newFakeDiscovery(t)
 	got := make(chan membership.List, 10)
-	d := newDiscoveryClient(f.Listener.Addr().String(), agentTiming(time.Hour), minMaxListBytes, func(l membership.List) { got <- l })
+	d := newDiscoveryClient(f.Listener.Addr().String(), agentTiming(time.Hour), listBytesFloor, func(l membership.List) { got <- l })
 	go d.run(t.Context(), &membership.List{Revision: 5, Complete: true}, nil)
 	wait(t, "a watch", f.watched)
 	for _, text := range []string{"{", `  "revision": 8,`, `  "complete": false,`, `  "members": [`,
@@ -166,7 +166,7 @@
 	f := newFakeDiscovery(t)
 	p := agentTiming(time.Hour)
 	p.silenceTimeout, p.initialRetryDelay, p.maxRetryDelay = 50*time.Millisecond, time.Millisecond, time.Millisecond
-	d := newDiscoveryClient(f.Listener.Addr().String(), p, minMaxListBytes, func(l membership.List) {
+	d := newDiscoveryClient(f.Listener.Addr().String(), p, listBytesFloor, func(l membership.List) {
 		if l.Revision != 5 || len(l.Members) > 0 {
 			t.Errorf("half a list is handed on: %+v", l)
 		}
@@ -192,7 +192,7 @@
 	got := make(chan membership.List, 10)
 	p := agentTiming(time.Hour)
 	p.initialRetryDelay, p.maxRetryDelay = time.Millisecond, time.Millisecond
-	d := newDiscoveryClient(f.Listener.Addr().String(), p, minMaxListBytes, func(l membership.List) { got <- l })
+	d := newDiscoveryClient(f.Listener.Addr().String(), p, listBytesFloor, func(l membership.List) { got <- l })
 	go d.run(t.Context(), &membership.List{Revision: 5, Complete: true}, nil)
 	for _, invalid := range []string{"noise", "}", `{"revision":"x"}`, `{"revision":8,"members":{}}`, `[{}]`, `{"members":[{"id":5}]}`} {
 		if index := wait(t, "a watch", f.watched); index != "5" {
@@ -224,7 +224,7 @@
 		for _, known := range []*membership.List{nil, {Revision: 5, Complete: true}} {
 			ctx, stop := context.WithCancel(t.Context())
 			ended := make(chan struct{})
-			d := newDiscoveryClient(s.Listener.Addr().String(), p, minMaxListBytes, func(l membership.List) { t.Errorf("%s: %+v is told", name, l) })
+			d := newDiscoveryClient(s.Listener.Addr().String(), p, listBytesFloor, func(l membership.List) { t.Errorf("%s: %+v is told", name, l) })
 			go func() { d.run(ctx, known, nil); close(ended) }()
 			for range 3 {
 				wait(t, "a call", called)
@@ -248,7 +248,7 @@
 		if grace == 0 {
 			grace = maxAgentGrace
 		}
-		d := newDiscoveryClient("", p, minMaxListBytes, nil)
+		d := newDiscoveryClient("", p, listBytesFloor, nil)
 		now := time.Now()
 		d.lastMessage = now.Add(-p.silenceTimeout)
 		for range 100 {
@@ -378,7 +378,7 @@
 	ctx, stop := context.WithCancel(context.Background())
 	var ended sync.WaitGroup
 	for i := range gateways {
-		d := newDiscoveryClient("service", serviceTiming(gateways, grace), minMaxListBytes, func(l membership.List) {
+		d := newDiscoveryClient("service", serviceTiming(gateways, grace), listBytesFloor, func(l membership.List) {
 			if l.Revision == newRevision && receivedAt[i] == 0 {
 				receivedAt[i] = time.Since(s.startTime)
 			}
@@ -499,7 +499,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := &fakeDiscoveryService{callsPerSecond: 1e6, startTime: time.Now(), modeAt: func(time.Duration) serviceMode { return available }, changeAt: time.Second}
 		p := serviceTiming(1, 0)
-		d := newDiscoveryClient("service", p, minMaxListBytes, func(l membership.List) {
+		d := newDiscoveryClient("service", p, listBytesFloor, func(l membership.List) {
 			if l.Revision == newRevision {
 				time.Sleep(3 * p.silenceTimeout)
 			}
@@ -525,7 +525,7 @@
 // came since its start does.
 func TestServiceRetryMeetsDeadline(t *testing.T) {
 	for _, grace := range []time.Duration{0, 500 * time.Millisecond, 2 * time.Second} {
-		d := newDiscoveryClient("", serviceTiming(300, grace), minMaxListBytes, nil)
+		d := newDiscoveryClient("", serviceTiming(300, grace), listBytesFloor, nil)
 		now := time.Now()
 		seen := map[time.Duration]bool{}
 		for range 100 {
@@ -580,7 +580,7 @@
 	} {
 		seen := map[time.Duration]bool{}
 		for range 20 {
-			d := newDiscoveryClient("", serviceTiming(tier.gateways, 0), minMaxListBytes, nil)
+			d := newDiscoveryClient("", serviceTiming(tier.gateways, 0), listBytesFloor, nil)
 			now := time.Now()
 			checkDelay := func(what string, delay, mean time.Duration, jitter, spread float64) {
 				low, high := time.Duration((1-jitter)*float64(mean)), time.Duration((1+jitter)*float64(mean))
@@ -611,7 +611,7 @@
 // anything: that is a failure like any other.
 func TestEmptyWatchKeepsBackoff(t *testing.T) {
 	f := newFakeDiscovery(t)
-	d := newDiscoveryClient(f.Listener.Addr().String(), serviceTiming(1, 0), minMaxListBytes, func(membership.List) {})
+	d := newDiscoveryClient(f.Listener.Addr().String(), serviceTiming(1, 0), listBytesFloor, func(membership.List) {})
 	d.retryBackoff.InitialInterval, d.retryBackoff.MaxInterval = time.Millisecond, time.Hour
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan struct{})
@@ -686,7 +686,7 @@
 // What the old address tells after the new one's list is out of date.
 func TestListsOfFormerSourceAreDropped(t *testing.T) {
 	got := make(chan int64, 10)
-	s := newDiscoverySources(serviceTiming(1, 0), minMaxListBytes, membership.NewView(), nil)
+	s := newDiscoverySources(serviceTiming(1, 0), listBytesFloor, membership.NewView(), nil)
 	s.onApplied = func(revision int64) { got <- revision }
 	defer s.close()
 	old, replacement := &discoverySource{"old", func() {}}, &discoverySource{"next", func() {}}
@@ -710,7 +710,7 @@
 // while a move is under way: to where it goes on, or back to where it was.
 func TestReloadWithUnchangedAddressStartsNoSource(t *testing.T) {
 	var lists atomic.Int32
-	s := newDiscoverySources(serviceTiming(1, 0), minMaxListBytes, membership.NewView(), nil)
+	s := newDiscoverySources(serviceTiming(1, 0), listBytesFloor, membership.NewView(), nil)
 	s.onApplied = func(int64) { lists.Add(1) }
 	defer s.close()
 	canceled := map[string]bool{}
--- a/internal/ingress/pool_test.go
+++ b/internal/ingress/pool_test.go
@@ -176,7 +176,7 @@
 // address or from another.
 func TestUnchangedListIsNotDelivered(t *testing.T) {
 	delivered := 0
-	s := newDiscoverySources(serviceTiming(1, 0), minMaxListBytes, membership.NewView(), func([]membership.Change) { delivered++ })
+	s := newDiscoverySources(serviceTiming(1, 0), listBytesFloor, membership.NewView(), func([]membership.Change) { delivered++ })
 	defer s.close()
 	list := membership.List{Revision: 3, Complete: true, Members: []*membership.Member{{ID: "a", HostPort: "a:1"}}}
 	for _, address := range []string{"one", "two"} {
