--- a/internal/ingress/attempt.go
+++ b/internal/ingress/attempt.go
@@ -89,14 +89,14 @@
 // connections may close it, or send an error, before the first byte is written.
 func (a *attempt) runOnConn(c *conn) {
 	if !c.send(a) {
-		c.close("closed by the backend before the first byte was sent")
+		c.close("closed, or unexpected bytes received, before the first byte was sent")
 		a.finish(reply{status: a.unsentStatus()}, nil)
 		return
 	}
 	c.readAnswers()
 }
 
-var errDialNotAllowed = errors.New("too many connections to backends, or the backend accepts no new requests")
+var errDialNotAllowed = errors.New("too many connections to backends, or the backend is unavailable")
 
 // dial opens a connection to the backend, within the limit of connections to backends.
 func (a *attempt) dial() (net.Conn, error) {
--- a/internal/ingress/config.go
+++ b/internal/ingress/config.go
@@ -144,7 +144,7 @@
 		}
 	}
 	if cfg.Listen == "" || cfg.Discovery == "" {
-		return Config{}, fmt.Errorf("configuration %s: the listen address or the discovery address is missing", path)
+		return Config{}, fmt.Errorf("configuration %s: listen or discovery address is missing", path)
 	}
 	return cfg, nil
 }
@@ -206,8 +206,11 @@
 	}
 	cfg := Config{
 		Name: file.Name, Listen: file.Listen, Discovery: file.Discovery, Limits: file.Limits,
-		Choice: choiceConfig, classes: map[string]int{}, plans: map[string]int{}, zones: map[string]int{}, kinds: map[string]int{},
-		backendIdleTimeout: millisToDuration(s.Bounds.ConnIdle), connectTimeout: millisToDuration(s.Bounds.ConnectTimeout), centralDiscovery: centralDiscovery,
+		Choice:  choiceConfig,
+		classes: map[string]int{}, plans: map[string]int{}, zones: map[string]int{}, kinds: map[string]int{},
+		backendIdleTimeout: millisToDuration(s.Bounds.ConnIdle),
+		connectTimeout:     millisToDuration(s.Bounds.ConnectTimeout),
+		centralDiscovery:   centralDiscovery,
 	}
 	if file.Seed != "" {
 		if cfg.Seed, err = strconv.ParseUint(file.Seed, 16, 64); err != nil {
--- a/internal/ingress/conn.go
+++ b/internal/ingress/conn.go
@@ -35,7 +35,7 @@
 
 	idleSince        time.Time     // time of its last answer; only used by the loop
 	idleElement      *list.Element // its element in pool.idleConns; only used by the loop
-	partialDeadlines int           // partial-answer deadlines set for the current answer; only used by the reader
+	partialDeadlines int           // number of partialAnswerTimeouts of the current answer; only used by the reader
 
 	mu       sync.Mutex
 	current  *attempt // nil while the connection is idle
@@ -241,7 +241,8 @@
 	// The deadline is well before the backend closes the connection: a request written
 	// to a closed connection ends in a reset, after which a request that must not run
 	// twice cannot be retried.
-	c.nc.SetReadDeadline(time.Now().Add(time.Duration(idleTimeoutFraction * float64(c.pool.cfg.backendIdleTimeout))))
+	c.nc.SetReadDeadline(time.Now().Add(
+		time.Duration(idleTimeoutFraction * float64(c.pool.cfg.backendIdleTimeout))))
 	c.mu.Lock()
 	c.current = nil
 	c.mu.Unlock()
--- a/internal/ingress/discovery.go
+++ b/internal/ingress/discovery.go
@@ -130,7 +130,9 @@
 
 // newDiscoveryClient returns a client of discovery at an address. Lists and changes are
 // passed to deliver, which returns when they are in force.
-func newDiscoveryClient(address string, timing discoveryTiming, maxListBytes int, deliver func(membership.List)) *discoveryClient {
+func newDiscoveryClient(
+	address string, timing discoveryTiming, maxListBytes int, deliver func(membership.List),
+) *discoveryClient {
 	return &discoveryClient{
 		discoveryTiming: timing,
 		maxListBytes:    maxListBytes,
@@ -139,8 +141,11 @@
 		startupTimeout:  startupTimeout,
 		deliver:         deliver,
 		randomFloat:     rand.Float64,
-		retryBackoff: backoff.ExponentialBackOff{InitialInterval: timing.initialRetryDelay, MaxInterval: timing.maxRetryDelay,
-			Multiplier: retryMultiplier},
+		retryBackoff: backoff.ExponentialBackOff{
+			InitialInterval: timing.initialRetryDelay,
+			MaxInterval:     timing.maxRetryDelay,
+			Multiplier:      retryMultiplier,
+		},
 	}
 }
 
@@ -265,7 +270,8 @@
 }
 
 // watch follows the changes after a revision until the connection ends or falls silent,
-// and returns the last revision delivered. It calls onMessage after each message.
+// and returns the last revision delivered. It calls onMessage after each list or empty
+// line.
 func (d *discoveryClient) watch(ctx context.Context, revision int64, onMessage func()) (int64, error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
--- a/internal/ingress/pool.go
+++ b/internal/ingress/pool.go
@@ -59,9 +59,12 @@
 
 // newPool returns an empty pool. The callbacks are called by the goroutines of
 // connections.
-func newPool(cfg *Config, onAttemptEnd func(*attempt, reply, time.Duration, *conn), onIdleClose func(*conn)) *pool {
+func newPool(
+	cfg *Config, onAttemptEnd func(*attempt, reply, time.Duration, *conn), onIdleClose func(*conn),
+) *pool {
 	return &pool{
-		cfg: cfg, onAttemptEnd: onAttemptEnd, onIdleClose: onIdleClose, dialer: net.Dialer{Timeout: cfg.connectTimeout},
+		cfg: cfg, onAttemptEnd: onAttemptEnd, onIdleClose: onIdleClose,
+		dialer: net.Dialer{Timeout: cfg.connectTimeout},
 		byName: map[string]*backend{}, byID: map[uint32]*backend{}, idleConns: list.New(),
 	}
 }
--- a/internal/ingress/sources.go
+++ b/internal/ingress/sources.go
@@ -33,8 +33,13 @@
 }
 
 // newDiscoverySources returns sources that compare lists with the given view.
-func newDiscoverySources(timing discoveryTiming, maxListBytes int, view *membership.View, deliver func([]membership.Change)) *discoverySources {
-	s := &discoverySources{timing: timing, maxListBytes: maxListBytes, view: view, deliver: deliver, onApplied: func(int64) {}, onSwitch: func(string) {}}
+func newDiscoverySources(
+	timing discoveryTiming, maxListBytes int, view *membership.View, deliver func([]membership.Change),
+) *discoverySources {
+	s := &discoverySources{
+		timing: timing, maxListBytes: maxListBytes, view: view, deliver: deliver,
+		onApplied: func(int64) {}, onSwitch: func(string) {},
+	}
 	s.ctx, s.close = context.WithCancel(context.Background())
 	return s
 }
