--- a/internal/ingress/config_test.go
+++ b/internal/ingress/config_test.go
@@ -8,7 +8,8 @@
 	"testing"
 )
 
-// writeConfig writes a configuration, and returns the environment that names it.
+// writeConfig writes a configuration file, and returns an environment whose NODE_CONFIG
+// names it.
 func writeConfig(t *testing.T, known, settings string) (getenv func(string) string) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
@@ -19,41 +20,41 @@
 	return func(name string) string { return map[string]string{"NODE_CONFIG": path}[name] }
 }
 
-// A configuration that is read again brings all but the list of backends, which
-// is older than the one in force; a broken one is refused.
+// ReloadConfig reads everything but the list of backends, which is older than the list in
+// force. Invalid files are rejected.
 func TestReloadConfigOmitsBackendList(t *testing.T) {
 	good := fmt.Sprintf(settings, 1000)
 	env := writeConfig(t, `{"revision":3,"complete":true,"members":[{"id":"a","host_port":"a:1"}]}`, good)
 	first, err := LoadConfig(env)
 	if err != nil || len(first.LastKnownList.Members) != 1 || first.LastKnownList.Revision != 3 {
-		t.Fatalf("the first reading gives %+v, %v", first.LastKnownList, err)
+		t.Fatalf("LoadConfig returns the list %+v, error %v", first.LastKnownList, err)
 	}
 	again, err := ReloadConfig(env)
 	if err != nil || len(again.LastKnownList.Members) != 0 || again.Discovery != "127.0.0.1:2" || len(again.Choice.Classes) != len(first.Choice.Classes) {
-		t.Errorf("read again: %+v, %v", again, err)
+		t.Errorf("ReloadConfig returns %+v, error %v", again, err)
 	}
 	for what, env := range map[string]func(string) string{
-		"settings that can't be read": writeConfig(t, "null", strings.Replace(good, "single_shot", "other", 1)),
-		"half a file":                 writeConfig(t, "{", good[:len(good)-2]),
+		"invalid settings": writeConfig(t, "null", strings.Replace(good, "single_shot", "other", 1)),
+		"truncated file":   writeConfig(t, "{", good[:len(good)-2]),
 	} {
 		if cfg, err := ReloadConfig(env); err == nil {
-			t.Errorf("%s: read again as %+v", what, cfg)
+			t.Errorf("%s: reloaded as %+v, want an error", what, cfg)
 		}
 	}
 	if _, err := LoadConfig(writeConfig(t, `{"members":5}`, good)); err == nil {
-		t.Error("a list that can't be read is taken at the start")
+		t.Error("LoadConfig accepts an invalid list")
 	}
 	if cfg, err := LoadConfig(writeConfig(t, "null", good)); err != nil || cfg.LastKnownList.Complete {
-		t.Errorf("no list: %+v, %v", cfg.LastKnownList, err)
+		t.Errorf("without a list: %+v, error %v", cfg.LastKnownList, err)
 	}
 }
 
-// As many customers are known as a part of the memory holds, and a thousand in any case.
+// The maximum number of customers grows with the memory, and is at least 1,024.
 func TestMaxCustomersScalesWithMemory(t *testing.T) {
 	for memory, want := range map[int]int{1: 1024, 48: 8987, 192: 35951} {
 		cfg, err := ParseConfig(fmt.Appendf(nil, `{"limits":{"memory_mb":%d},"settings":%s}`, memory, fmt.Sprintf(settings, 1000)))
 		if err != nil || cfg.Choice.MaxCustomers != want {
-			t.Errorf("with %d MB %d customers are known at most, %v; want %d", memory, cfg.Choice.MaxCustomers, err, want)
+			t.Errorf("with %d MB the maximum is %d customers, error %v; want %d", memory, cfg.Choice.MaxCustomers, err, want)
 		}
 	}
 }
--- a/internal/ingress/conn_test.go
+++ b/internal/ingress/conn_test.go
@@ -31,7 +31,7 @@
 			reply{status: choice.OK, value: []byte("$0\r\n\r\n"), load: load}},
 		{"*3\r\n$-1\r\n$6\r\nused=0\r\n$-1\r\n", reply{status: choice.Error, metered: true}},
 		{"*3\r\n$1\r\nv\r\n:5\r\n+x\r\n", reply{status: choice.OK, value: []byte("$1\r\nv\r\n")}},
-		// figures that can't be read, or beyond reason, are left out; the value stays
+		// invalid or implausible figures are ignored, and the value is kept
 		{"*3\r\n$1\r\nv\r\n$8\r\nused=-37\r\n$-1\r\n", reply{status: choice.OK, value: []byte("$1\r\nv\r\n")}},
 		{"*3\r\n$1\r\nv\r\n$8\r\nused=1e9\r\n$-1\r\n", reply{status: choice.OK, value: []byte("$1\r\nv\r\n")}},
 		{"*3\r\n$1\r\nv\r\n$11\r\nused=999999\r\n$-1\r\n", reply{status: choice.OK, value: []byte("$1\r\nv\r\n")}},
@@ -40,7 +40,7 @@
 		{"$25\r\ninflight=7,inflight=77.00\r\n", reply{status: choice.OK}},
 		{"$10\r\ninflight=7\r\n", reply{status: choice.OK}},
 		{"$31\r\ninflight=7000000,latency_ms=1.5\r\n", reply{status: choice.OK}},
-		// a spoilt line proves nothing
+		// an invalid line does not count as a rejection
 		{"-BUSY \x01\xff\r\n", reply{status: choice.Error}},
 		{"-BUSYx\r\n", reply{status: choice.Error}},
 		{"-ERR failed\r\n", reply{status: choice.Error}},
@@ -56,24 +56,25 @@
 	} {
 		for cut := range c.text {
 			if _, n, err := cfg.nextReply([]byte(c.text[:cut])); n != 0 || err != nil {
-				t.Errorf("%q: %d bytes taken, %v", c.text[:cut], n, err)
+				t.Errorf("incomplete %q: %d bytes consumed, error %v, want neither", c.text[:cut], n, err)
 			}
 		}
 		got, n, err := cfg.nextReply([]byte(c.text))
 		if err != nil || n != len(c.text) || !reflect.DeepEqual(got, c.want) {
-			t.Errorf("%q is understood as %+v (%d bytes, %v), want %+v", c.text, got, n, err, c.want)
+			t.Errorf("%q is parsed as %+v (%d bytes, error %v), want %+v", c.text, got, n, err, c.want)
 		}
 	}
 	for _, text := range []string{"$9223372036854775807\r\nxx\r\n", "*1\r\n", "*3\r\n$x", "*3\r\n$3000000000", "*3\r\n$70000\r\n",
 		"*3\r\n$1\r\nvv\r\n", "*3\r\n*1\r\n", "*-1\r\n", "*3\r\n$-2", "*3\r\n$1\r\nv\r\n$9999\r\n", "*3\r\n$1\r\nv\r\nx", "\x00", "noise",
 		"+OK\n", "-" + strings.Repeat("x", maxLineBytes)} {
 		if _, _, err := cfg.nextReply([]byte(text)); err == nil {
-			t.Errorf("%.40q: no error", text)
+			t.Errorf("%.40q: no error, want one", text)
 		}
 	}
 }
 
-// An unsafe request that may have run gets no second attempt and no refusal.
+// A request that must not run twice, and that may have run, gets no second attempt. It
+// fails rather than being refused, as a refusal would say that it has not run.
 func TestNonRepeatableRequestThatMayHaveRunFails(t *testing.T) {
 	one, two := newBackend(t), newBackend(t)
 	r := newRig(t, nil, one.member("1"), two.member("2"))
@@ -81,7 +82,7 @@
 		received.reset,
 		func(got received) { got.nc.Close() },
 		func(got received) { got.line("-ERR failed") },
-		// What can't be read ends at once, though the connection stays open.
+		// An invalid answer ends the attempt at once, though the connection stays open.
 		func(got received) { got.line("$x") },
 		func(got received) { got.line("*3\r\n$3000000000") },
 		func(got received) { got.line("-BUSY \x01") },
@@ -102,7 +103,7 @@
 	idle(t, "a second attempt", two.got)
 }
 
-// One that was turned away has not run, and goes to the other backend.
+// A request that a backend rejects has not run, and is retried on the other backend.
 func TestRejectedNonRepeatableRequestIsRetried(t *testing.T) {
 	one, two := newBackend(t), newBackend(t)
 	r := newRig(t, nil, one.member("1"), two.member("2"))
@@ -121,26 +122,28 @@
 	c.want("$1\r\nv")
 }
 
+// A request whose connection is refused has not run, and is retried.
 func TestNonRepeatableRequestIsRetriedAfterRefusedConnection(t *testing.T) {
-	down, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	addr := down.Addr().String()
-	down.Close()
+	addr := listener.Addr().String()
+	listener.Close()
 	b := newBackend(t)
-	dead := b.member("dead")
-	dead.HostPort = addr
-	r := newRig(t, nil, b.member("b"), dead)
+	unreachable := b.member("unreachable")
+	unreachable.HostPort = addr
+	r := newRig(t, nil, b.member("b"), unreachable)
 	c := r.dial()
-	for range 10 { // some of them try the dead one first
+	for range 10 { // some of the requests try the unreachable backend first
 		c.send("Q.DO", anyone, newID(), payment, "BODY")
 		wait(t, "the request", b.got).answer("v")
 		c.want("$1\r\nv")
 	}
 }
 
-// ageIdleConns waits until so many connections are idle and lets them have rested.
+// ageIdleConns waits until the given number of connections is idle, and makes them old
+// enough to be reused.
 func (r *rig) ageIdleConns(connections int) {
 	r.Helper()
 	r.eventually("the connections to be idle", func(l *loop) bool {
@@ -155,8 +158,8 @@
 	})
 }
 
-// Answers come in order, so a second request on a busy connection would wait;
-// an idle one is used again.
+// Answers arrive in order, so a second request on a busy connection would have to wait:
+// it uses another connection. Idle connections are reused.
 func TestConnectionsAreReusedWithoutPipelining(t *testing.T) {
 	b := newBackend(t)
 	r := newRig(t, func(cfg *Config) { cfg.Choice.Probing = false }, b.member("b"))
@@ -164,7 +167,7 @@
 	c.write(encode("Q.ASK", anyone, newID(), lookup) + encode("Q.ASK", anyone, newID(), lookup))
 	one, two := wait(t, "a request", b.got), wait(t, "another", b.got)
 	if one.nc == two.nc {
-		t.Error("two requests on one connection at a time")
+		t.Error("two requests are in flight on one connection")
 	}
 	one.answer("v")
 	two.answer("v")
@@ -173,15 +176,15 @@
 	r.ageIdleConns(2)
 	c.send("Q.ASK", anyone, newID(), lookup)
 	if three := wait(t, "a third", b.got); three.nc != one.nc && three.nc != two.nc {
-		t.Error("a new connection though two are idle")
+		t.Error("a new connection is used though two are idle")
 	} else {
 		three.answer("v")
 	}
 	c.want("$1\r\nv")
 }
 
-// A request on a connection that the backend has closed would be a reset, and
-// lost if unsafe: a closed one is noticed while idle.
+// A request on a connection that the backend has closed ends in a reset, and is lost if it
+// must not run twice. So the end of an idle connection is detected.
 func TestClosedIdleConnectionIsNotReused(t *testing.T) {
 	b := newBackend(t)
 	r := newRig(t, func(cfg *Config) { cfg.Choice.Probing = false }, b.member("b"))
@@ -192,11 +195,11 @@
 		got.answer("v")
 		c.want("$1\r\nv")
 		got.nc.Close()
-		r.eventually("the connection to be dropped", func(l *loop) bool { return l.pool.openConns.Load() == 0 })
+		r.eventually("the connection to be closed", func(l *loop) bool { return l.pool.openConns.Load() == 0 })
 	}
 }
 
-// The ingress drops idle connections itself, well before the backend does.
+// The ingress closes idle connections itself, well before the backend does.
 func TestIdleConnectionIsClosedBeforeBackendTimeout(t *testing.T) {
 	b := newBackend(t)
 	r := newRig(t, func(cfg *Config) { cfg.backendIdleTimeout, cfg.Choice.Probing = 100*time.Millisecond, false }, b.member("b"))
@@ -206,17 +209,17 @@
 	got.answer("v")
 	c.want("$1\r\nv")
 	if nc := wait(t, "the end of the idle connection", b.closed); nc != got.nc {
-		t.Error("another connection ended")
+		t.Error("a different connection was closed")
 	}
 	c.send("Q.ASK", anyone, newID(), lookup)
 	wait(t, "the next request", b.got).answer("w")
 	c.want("$1\r\nw")
 }
 
-// At the limit of descriptors an idle connection to another backend makes room.
+// At the limit of file descriptors an idle connection to another backend is evicted.
 func TestEvictIdleClosesConnectionOfAnotherBackend(t *testing.T) {
 	one, two := newBackend(t), newBackend(t)
-	r := newRig(t, func(cfg *Config) { cfg.Limits.Sockets, cfg.Choice.Probing = 5, false }, one.member("1")) // one for backends
+	r := newRig(t, func(cfg *Config) { cfg.Limits.Sockets, cfg.Choice.Probing = 5, false }, one.member("1")) // one connection to backends
 	c := r.dial()
 	c.send("Q.ASK", anyone, newID(), lookup)
 	wait(t, "the request", one.got).answer("v")
@@ -228,7 +231,8 @@
 	wait(t, "the end of the idle connection", one.closed)
 }
 
-// connFixture is one connection of a pool without a loop, its other end, and the outcomes.
+// connFixture is one connection to a backend in a pool without a loop, with the backend's
+// end of it and the outcomes of attempts.
 type connFixture struct {
 	*conn
 	peer     net.Conn
@@ -262,7 +266,7 @@
 	return f
 }
 
-// newAttempt makes an newAttempt of a payment for the connection's backend.
+// newAttempt returns an attempt of a payment to the backend of the connection.
 func (f *connFixture) newAttempt(t *testing.T) *attempt {
 	t.Helper()
 	cmd, err := f.pool.cfg.parseCommand([][]byte{
@@ -274,23 +278,23 @@
 		deadline: time.Now().Add(patience), writeDone: make(chan struct{})}
 }
 
-// wantNoBytes tells that the other end saw the connection end without a byte.
+// wantNoBytes checks that the backend saw the connection end without a byte.
 func (f *connFixture) wantNoBytes(t *testing.T) {
 	t.Helper()
 	if got, err := io.ReadAll(f.peer); err != nil || len(got) > 0 {
-		t.Errorf("the backend got %q, %v; want nothing", got, err)
+		t.Errorf("the backend received %q, error %v; want nothing", got, err)
 	}
 }
 
 func (f *connFixture) wantStatus(t *testing.T, status choice.Status) {
 	t.Helper()
 	if got := wait(t, "the outcome", f.outcomes); got != status {
-		t.Errorf("outcome %d, want %d", got, status)
+		t.Errorf("status %d, want %d", got, status)
 	}
 }
 
-// A backend that is told to drain while an attempt waits for its connection
-// gets nothing of it, and the attempt counts as never run.
+// If a backend starts to drain while an attempt waits for its connection, the attempt is
+// not sent and counts as not run.
 func TestDrainingBackendGetsNoNewAttempt(t *testing.T) {
 	f := newConnFixture(t)
 	f.backend.unavailable.Store(true)
@@ -300,9 +304,9 @@
 	f.wantStatus(t, choice.ConnectFailed)
 	f.wantNoBytes(t)
 
-	a = f.newAttempt(t) // and no new connection either
+	a = f.newAttempt(t) // nor is a new connection opened
 	f.pool.dialer.Control = func(string, string, syscall.RawConn) error {
-		t.Error("a draining backend gets a new connection")
+		t.Error("a new connection to a draining backend is opened")
 		return nil
 	}
 	a.run(nil)
@@ -323,8 +327,8 @@
 	f.wantStatus(t, choice.ConnectFailed)
 }
 
-// The loop may hand out a connection that has closed a moment ago: nothing was
-// written, so the attempt takes a new one.
+// The loop may pick a connection that has just been closed. Nothing is written to it, so
+// the attempt can use a new one.
 func TestSendFailsOnClosedConnection(t *testing.T) {
 	f := newConnFixture(t)
 	f.peer.Close()
@@ -349,8 +353,8 @@
 	f.wantStatus(t, choice.ConnectFailed)
 }
 
-// Where the settings allow no cancels, a request whose client has left while a
-// connection was coming up goes nowhere all the same.
+// If the client disconnects while the connection to the backend is being dialed, the
+// request is not sent, even with settings that do not allow canceling attempts.
 func TestRequestOfDisconnectedClientIsNotSent(t *testing.T) {
 	b := newBackend(t)
 	r := newRig(t, func(cfg *Config) { cfg.Choice.Cancelling, cfg.Choice.Probing = false, false }, b.member("b"))
@@ -370,21 +374,21 @@
 	c.send("Q.DO", anyone, newID(), payment, "BODY")
 	wait(t, "a dial", dials)
 	c.nc.Close()
-	r.eventually("the request to be over", func(l *loop) bool {
+	r.eventually("the request to end", func(l *loop) bool {
 		for _, q := range l.requests {
 			return q.over
 		}
 		return true
 	})
-	close(allowDial) // only now does the connection come up
-	r.eventually("the request to be forgotten", func(l *loop) bool { return len(l.requests) == 0 })
-	idle(t, "a request sent on", b.got)
+	close(allowDial) // the connection is opened only now
+	r.eventually("the request to be removed", func(l *loop) bool { return len(l.requests) == 0 })
+	idle(t, "a request at the backend", b.got)
 }
 
 func TestFinishedRequestCancelsOnlyUnsentAttempts(t *testing.T) {
 	f := newConnFixture(t)
 	a := f.newAttempt(t)
-	a.cancelUnsent() // while it waited for its connection
+	a.cancelUnsent() // while the attempt waits for its connection
 	f.send(a)
 	go f.readAnswers()
 	f.wantStatus(t, choice.CancelledBeforeSend)
@@ -398,13 +402,13 @@
 	f = newConnFixture(t)
 	a = f.newAttempt(t)
 	f.send(a)
-	a.cancelUnsent() // one that is out goes on
+	a.cancelUnsent() // an attempt in flight continues
 	go f.readAnswers()
 	fmt.Fprint(f.peer, "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n")
 	f.wantStatus(t, choice.OK)
 }
 
-// shortWriteConn loses its peer before the last byte.
+// shortWriteConn fails to write the last byte.
 type shortWriteConn struct{ net.Conn }
 
 func (c shortWriteConn) Write(b []byte) (int, error) {
@@ -420,8 +424,8 @@
 	f.wantStatus(t, choice.ConnectFailed)
 }
 
-// The time of an idle connection that runs out just as an attempt starts is
-// not the attempt's.
+// If the idle timeout of a connection expires just as an attempt starts, the attempt
+// continues.
 func TestIdleDeadlineDoesNotEndAttempt(t *testing.T) {
 	f := newConnFixture(t)
 	a := f.newAttempt(t)
@@ -429,14 +433,15 @@
 	f.closeAsync() // as if the idle deadline had passed
 	go f.readAnswers()
 	if got := a.statusAfterError(os.ErrDeadlineExceeded); got != choice.OK {
-		t.Errorf("the attempt ends with %d", got)
+		t.Errorf("the attempt ends with status %d, want it to continue", got)
 	}
 	f.nc.SetDeadline(a.deadline)
 	fmt.Fprint(f.peer, "-BUSY\r\n")
 	f.wantStatus(t, choice.Refused)
 }
 
-// No second attempt may overlap: the connection is closed before the outcome is told.
+// The connection is closed before the outcome is reported, so that a second attempt does
+// not overlap with the first.
 func TestConnectionIsClosedBeforeOutcomeIsReported(t *testing.T) {
 	for _, c := range []struct {
 		end  func(*attempt)
@@ -461,13 +466,13 @@
 		go f.readAnswers()
 		f.wantStatus(t, c.want)
 		if !closed {
-			t.Errorf("outcome %d was told on an open connection", c.want)
+			t.Errorf("status %d was reported while the connection was open", c.want)
 		}
 	}
 }
 
-// A second copy of an answer, or noise, may come behind it. Nothing tells whose
-// an answer is, so the next request must not be on that connection by then.
+// A duplicate of an answer, or stray bytes, may follow it. Answers carry no request id, so
+// the next request must not be sent on that connection yet.
 func TestReuseDelay(t *testing.T) {
 	f := newConnFixture(t)
 	p := f.pool
@@ -476,50 +481,50 @@
 	p.putIdle(f.conn)
 	p.putIdle(other)
 	if c := p.takeIdle(f.backend); c != nil {
-		t.Error("a connection is used again at once")
+		t.Error("a connection is reused at once")
 	}
 	for _, c := range f.backend.idleConns {
 		c.idleSince = c.idleSince.Add(-reuseDelay)
 	}
 	if c := p.takeIdle(f.backend); c != f.conn {
-		t.Error("the longest rested one is not taken first")
+		t.Error("the connection that has been idle for longest is not reused first")
 	}
 	if len(f.backend.idleConns) != 1 || f.backend.idleConns[0] != other {
 		t.Errorf("%d connections are idle, want the other one", len(f.backend.idleConns))
 	}
 }
 
-// What has come already is seen before the first byte of the next request,
-// which then goes elsewhere unharmed.
+// Unread bytes are detected before the first byte of the next request, which can then use
+// another connection.
 func TestConnectionWithUnreadBytesIsNotReused(t *testing.T) {
 	f := newConnFixture(t)
 	fmt.Fprint(f.peer, "noise")
-	for f.nothingToRead() { // until it has come
+	for f.nothingToRead() { // until the bytes have arrived
 		time.Sleep(time.Millisecond)
 	}
 	if f.send(f.newAttempt(t)) {
-		t.Error("the connection is used")
+		t.Error("an attempt is sent on a connection with unread bytes")
 	}
 	f.readAnswers()
 	if err := f.nc.SetDeadline(time.Time{}); !errors.Is(err, net.ErrClosed) {
-		t.Errorf("the connection is open: %v", err)
+		t.Errorf("the connection is still open: %v", err)
 	}
 }
 
-// A backend with too many connections may end a new one at once: the attempt on
-// it never ran, and must end all the same.
+// A backend with too many connections may close a new one at once. The attempt on it has
+// not run, and must end.
 func TestAttemptOnImmediatelyClosedConnectionCountsAsUnsent(t *testing.T) {
 	f := newConnFixture(t)
 	f.peer.Close()
-	for f.nothingToRead() { // until its end has come
+	for f.nothingToRead() { // until the end has arrived
 		time.Sleep(time.Millisecond)
 	}
 	go f.newAttempt(t).runOnConn(f.conn)
 	f.wantStatus(t, choice.ConnectFailed)
 }
 
-// While kept connections are reset at their next request, a payment on one
-// would be lost: it goes on a new one.
+// While reused connections are being reset, a payment on one of them could be lost. It
+// uses a new connection.
 func TestNonRepeatableRequestAvoidsReuseAfterResets(t *testing.T) {
 	b := newBackend(t)
 	r := newRig(t, func(cfg *Config) { cfg.Choice.Probing = false }, b.member("b"))
@@ -530,28 +535,28 @@
 	c.want("$1\r\nv")
 	r.ageIdleConns(1)
 	c.send("Q.ASK", anyone, newID(), lookup)
-	wait(t, "a request on the kept connection", b.got).reset()
-	again := wait(t, "its further attempt", b.got)
+	wait(t, "a request on the idle connection", b.got).reset()
+	again := wait(t, "its second attempt", b.got)
 	again.answer("v")
 	c.want("$1\r\nv")
 	r.ageIdleConns(1)
 	c.send("Q.DO", anyone, newID(), payment, "BODY")
 	got := wait(t, "a payment", b.got)
 	if got.nc == again.nc {
-		t.Error("the payment is on a kept connection")
+		t.Error("the payment is sent on a reused connection")
 	}
 	got.answer("w")
 	c.want("$1\r\nw")
 	c.send("Q.ASK", anyone, newID(), lookup)
 	if last := wait(t, "a lookup", b.got); last.nc != again.nc {
-		t.Error("the lookup does not try the kept connection")
+		t.Error("the lookup does not reuse the idle connection")
 	} else {
 		last.answer("x")
 	}
 	c.want("$1\r\nx")
 }
 
-// An answer read late, in two parts, is whole all the same.
+// An answer that arrives in two parts is complete.
 func TestAnswerInTwoParts(t *testing.T) {
 	f := newConnFixture(t)
 	a := f.newAttempt(t)
--- a/internal/ingress/discovery_test.go
+++ b/internal/ingress/discovery_test.go
@@ -19,7 +19,7 @@
 	"cedarseam/internal/membership"
 )
 
-// eventually waits until something holds of the loop.
+// eventually waits until a condition on the state of the loop holds.
 func (r *rig) eventually(what string, ok func(l *loop) bool) {
 	r.Helper()
 	for end := time.Now().Add(patience); time.Now().Before(end); {
@@ -30,14 +30,16 @@
 		}
 		time.Sleep(time.Millisecond)
 	}
-	r.Fatalf("waited in vain for %s", what)
+	r.Fatalf("timed out waiting for %s", what)
 }
 
+// Changes that a watch reports take effect, and after a lost connection the next watch
+// starts at the last revision received.
 func TestWatchAppliesListChanges(t *testing.T) {
 	one, two := newBackend(t), newBackend(t)
 	r := newRig(t, func(cfg *Config) { cfg.Choice.Probing = false }, one.member("1"))
 	if index := wait(t, "a watch", r.discovery.watched); index != "7" {
-		t.Errorf("the watch begins at %s, want the list's 7", index)
+		t.Errorf("the watch starts at revision %s, want that of the list, 7", index)
 	}
 	c := r.dial()
 	c.send("Q.ASK", anyone, newID(), lookup)
@@ -49,7 +51,7 @@
 	r.discovery.lines <- fmt.Sprintf(`{"revision":8,"complete":false,"members":[{"id":"1","host_port":%q,"phase":"DRAINING"},{"id":"2","host_port":%q,"phase":"SERVING","size":1}]}`,
 		one.addr, two.addr)
 	if nc := wait(t, "the end of the idle connection to the draining backend", one.closed); nc != first.nc {
-		t.Error("another connection ended")
+		t.Error("a different connection was closed")
 	}
 	for range 5 {
 		c.send("Q.DO", anyone, newID(), payment, "BODY")
@@ -57,20 +59,21 @@
 		c.want("$1\r\nw")
 	}
 
-	r.discovery.lines <- "end" // the connection breaks: the watch goes on from the last revision
+	r.discovery.lines <- "end" // the connection breaks
 	if index := wait(t, "the next watch", r.discovery.watched); index != "8" {
-		t.Errorf("the watch goes on from %s, want 8", index)
+		t.Errorf("the next watch starts at revision %s, want 8", index)
 	}
 	r.discovery.lines <- fmt.Sprintf(`{"revision":9,"complete":true,"members":[{"id":"1","host_port":%q,"phase":"SERVING","size":1}]}`, one.addr)
-	r.eventually("the missing backend to go", func(l *loop) bool { return len(l.pool.byName) == 1 })
+	r.eventually("the backend missing from the list to be removed", func(l *loop) bool { return len(l.pool.byName) == 1 })
 	c.send("Q.DO", anyone, newID(), payment, "BODY")
 	wait(t, "the request at the first backend", one.got).answer("x")
 	c.want("$1\r\nx")
 	r.discovery.lines <- `{"revision":10,"complete":false,"members":[{"id":"1","phase":"DELETED"}]}`
-	r.eventually("the deleted backend to go", func(l *loop) bool { return len(l.pool.byName) == 0 })
+	r.eventually("the deleted backend to be removed", func(l *loop) bool { return len(l.pool.byName) == 0 })
 }
 
-// A watch that was cut off stays open and says nothing.
+// A watch whose peer has become unreachable stays open and silent. It is replaced by a new
+// one.
 func TestSilentWatchIsReopened(t *testing.T) {
 	b := newBackend(t)
 	f := newFakeDiscovery(t, b.member("b"))
@@ -83,59 +86,61 @@
 		t.Errorf("the list is %+v", l)
 	}
 	wait(t, "a watch", f.watched)
-	wait(t, "a second one", f.watched)
+	wait(t, "a second watch", f.watched)
 }
 
+// If the first call takes longer than the startup timeout, onFirstResult is called once
+// nevertheless, and the client gets the list when discovery answers.
 func TestDiscoveryIsRetried(t *testing.T) {
 	f := newFakeDiscovery(t)
 	d := newDiscoveryClient(f.Listener.Addr().String(), serviceTiming(1, 0), listBytesFloor, func(membership.List) {})
 	d.startupTimeout = 20 * time.Millisecond
 	started := make(chan struct{}, 10)
 	go d.run(t.Context(), nil, func() { started <- struct{}{} })
-	wait(t, "the first try to fail", started)
+	wait(t, "the end of the startup timeout", started)
 	close(f.gate)
 	wait(t, "a watch", f.watched)
 	idle(t, "a second start", started)
 }
 
-// A whole tier that asks for all lines at its start overbooks discovery: with a
-// list known, only what changed since is asked for.
+// A whole tier that gets the full list at its start overloads discovery. With a last known
+// list, an ingress only asks for the changes since.
 func TestWatchStartsAtLastKnownRevision(t *testing.T) {
 	b := newBackend(t)
-	f := newFakeDiscovery(t, b.member("b")) // its gate is closed: the whole list is never told
+	f := newFakeDiscovery(t, b.member("b")) // its gate stays closed: it never sends the full list
 	got, started := make(chan membership.List, 10), make(chan struct{}, 10)
 	d := newDiscoveryClient(f.Listener.Addr().String(), serviceTiming(1, 0), listBytesFloor, func(l membership.List) { got <- l })
 	d.startupTimeout = time.Hour
 	go d.run(t.Context(), &membership.List{Revision: 5, Complete: true}, func() { started <- struct{}{} })
 	if index := wait(t, "a watch", f.watched); index != "5" {
-		t.Errorf("the watch begins at %s, want the known 5", index)
+		t.Errorf("the watch starts at revision %s, want the last known one, 5", index)
 	}
 	f.lines <- ""
-	if l := wait(t, "word that nothing changed", got); l.Complete || len(l.Members) != 0 || l.Revision != 5 {
-		t.Errorf("an empty line tells %+v", l)
+	if l := wait(t, "the result of the empty line", got); l.Complete || len(l.Members) != 0 || l.Revision != 5 {
+		t.Errorf("an empty line is delivered as %+v", l)
 	}
 	wait(t, "the start", started)
 	f.lines <- `{"revision":6,"complete":false,"members":[{"id":"b","phase":"DRAINING"}]}`
 	if l := wait(t, "the change", got); l.Revision != 6 || len(l.Members) != 1 {
-		t.Errorf("the change is %+v", l)
+		t.Errorf("the change is %+v, want revision 6 with one member", l)
 	}
 	idle(t, "a second start", started)
 }
 
-// An overbooked service lets a call wait. Clients are not held up for that: the
-// list that is known serves until it answers.
+// An overloaded service takes long to answer. Clients do not have to wait for that: they
+// are served from the last known list until then.
 func TestStartupDoesNotWaitForUnansweredWatch(t *testing.T) {
 	f := newFakeDiscovery(t)
 	d := newDiscoveryClient(f.Listener.Addr().String(), serviceTiming(1, 0), listBytesFloor, func(membership.List) {})
 	d.startupTimeout = time.Millisecond
 	started := make(chan struct{}, 10)
 	go d.run(t.Context(), &membership.List{Complete: true}, func() { started <- struct{}{} })
-	wait(t, "the start, though the watch tells nothing", started)
-	wait(t, "the watch to be open all the same", f.watched)
+	wait(t, "the start, though the watch sends nothing", started)
+	wait(t, "a watch", f.watched)
 	idle(t, "a second watch", f.watched)
 }
 
-// A list may come indented, over several lines and in several parts.
+// A list may be indented, and may arrive in several lines and parts.
 func TestIndentedLists(t *testing.T) {
 	f := newFakeDiscovery(t)
 	got := make(chan membership.List, 10)
@@ -149,26 +154,26 @@
 	if l := wait(t, "the change", got); l.Revision != 8 || len(l.Members) != 1 || *l.Members[0] != (membership.Member{ID: "b", Phase: membership.PhaseDraining}) {
 		t.Errorf("the change is %+v", l)
 	}
-	if l := wait(t, "the change behind it", got); l.Revision != 9 || l.Complete {
+	if l := wait(t, "the next change", got); l.Revision != 9 || l.Complete {
 		t.Errorf("the next change is %+v", l)
 	}
 	f.lines <- ""
-	// The end of the last line may count as an empty one.
+	// The end of the last line may count as an empty line.
 	if l := wait(t, "the empty line", got); l.Revision != 9 || len(l.Members) != 0 {
-		t.Errorf("an empty line tells %+v", l)
+		t.Errorf("an empty line is delivered as %+v", l)
 	}
 	idle(t, "a second watch", f.watched)
 }
 
-// A watch may fall silent anywhere: what keeps coming inside a list that has
-// begun is not a word.
+// A watch may fall silent anywhere. Bytes that keep arriving inside a list that has begun
+// do not count as messages, so such a watch is replaced too.
 func TestWatchThatStallsInsideListIsReopened(t *testing.T) {
 	f := newFakeDiscovery(t)
 	p := agentTiming(time.Hour)
 	p.silenceTimeout, p.initialRetryDelay, p.maxRetryDelay = 50*time.Millisecond, time.Millisecond, time.Millisecond
 	d := newDiscoveryClient(f.Listener.Addr().String(), p, listBytesFloor, func(l membership.List) {
 		if l.Revision != 5 || len(l.Members) > 0 {
-			t.Errorf("half a list is handed on: %+v", l)
+			t.Errorf("an incomplete list is delivered: %+v", l)
 		}
 	})
 	go d.run(t.Context(), &membership.List{Revision: 5, Complete: true}, nil)
@@ -180,13 +185,13 @@
 		case f.lines <- "":
 		case index := <-f.watched:
 			if again = true; index != "5" {
-				t.Errorf("the next watch begins at %s, want 5", index)
+				t.Errorf("the next watch starts at revision %s, want 5", index)
 			}
 		}
 	}
 }
 
-// What can't be read is dropped, and the watch goes on from the last list.
+// An invalid list is dropped, and the next watch starts at the last valid revision.
 func TestInvalidListReopensWatch(t *testing.T) {
 	f := newFakeDiscovery(t)
 	got := make(chan membership.List, 10)
@@ -196,19 +201,19 @@
 	go d.run(t.Context(), &membership.List{Revision: 5, Complete: true}, nil)
 	for _, invalid := range []string{"noise", "}", `{"revision":"x"}`, `{"revision":8,"members":{}}`, `[{}]`, `{"members":[{"id":5}]}`} {
 		if index := wait(t, "a watch", f.watched); index != "5" {
-			t.Errorf("the watch begins at %s, want 5", index)
+			t.Errorf("the watch starts at revision %s, want 5", index)
 		}
 		f.lines <- invalid
 	}
 	wait(t, "the last watch", f.watched)
 	f.lines <- `{"revision":6,"complete":false,"members":[]}`
-	if l := wait(t, "the first list that can be read", got); l.Revision != 6 {
-		t.Errorf("%+v is handed on", l)
+	if l := wait(t, "the first valid list", got); l.Revision != 6 {
+		t.Errorf("%+v is delivered, want revision 6", l)
 	}
 }
 
-// A service that accepts a call and never answers it, or answers with its
-// headers alone, is called again.
+// If a service accepts a call and never answers it, or sends only the headers of the
+// answer, the call is retried.
 func TestUnansweredCallIsRetried(t *testing.T) {
 	for name, headers := range map[string]bool{"without a byte": false, "after the headers": true} {
 		called := make(chan struct{}, 100)
@@ -224,7 +229,7 @@
 		for _, known := range []*membership.List{nil, {Revision: 5, Complete: true}} {
 			ctx, stop := context.WithCancel(t.Context())
 			ended := make(chan struct{})
-			d := newDiscoveryClient(s.Listener.Addr().String(), p, listBytesFloor, func(l membership.List) { t.Errorf("%s: %+v is told", name, l) })
+			d := newDiscoveryClient(s.Listener.Addr().String(), p, listBytesFloor, func(l membership.List) { t.Errorf("%s: %+v is delivered, want no list", name, l) })
 			go func() { d.run(ctx, known, nil); close(ended) }()
 			for range 3 {
 				wait(t, "a call", called)
@@ -240,8 +245,8 @@
 	}
 }
 
-// What an agent has counts as told at once. However many ingresses there are,
-// one that comes back after a silence must be heard before a drain's grace is over.
+// A change counts as delivered as soon as an agent has it. After a silence the client must
+// hear from an agent that is back before half of the grace period of a drain has passed.
 func TestAgentRetryMeetsDrainGrace(t *testing.T) {
 	for _, grace := range []time.Duration{0, 500 * time.Millisecond, time.Second, 2 * time.Second, 5 * time.Second} {
 		p := agentTiming(grace)
@@ -253,29 +258,30 @@
 		d.lastMessage = now.Add(-p.silenceTimeout)
 		for range 100 {
 			if delay := p.answerTimeout + d.nextDelay(now); delay > grace/2 {
-				t.Errorf("grace %v: an agent that speaks again is heard after %v", grace, delay)
+				t.Errorf("grace period %v: an agent that answers again is reached after %v", grace, delay)
 			}
 			if delay := p.silenceTimeout + p.answerTimeout + d.nextDelay(now); delay > assumedDeliveryTime+grace/2 {
-				t.Errorf("grace %v: what a silent watch misses is heard after %v", grace, delay)
+				t.Errorf("grace period %v: a change missed by a silent watch arrives after %v", grace, delay)
 			}
 		}
 	}
 }
 
-// fakeDiscoveryService stands for the one that all ingresses of a tier ask, on the clock of
-// a bubble. It serves calls in turn, at a fixed pace.
+// fakeDiscoveryService simulates the discovery service of a whole tier on the clock of a
+// synctest bubble. It answers calls one after another, at a fixed rate.
 type fakeDiscoveryService struct {
-	callsPerSecond float64                            // calls a second
-	rejectionCost  float64                            // a call turned away costs this part of one
-	modeAt         func(at time.Duration) serviceMode // since begun
+	callsPerSecond float64
+	rejectionCost  float64                            // of a rejected call, as a part of an answered one
+	modeAt         func(at time.Duration) serviceMode // at is the time since startTime
 	startTime      time.Time
-	changeAt       time.Duration // the list changes then
+	changeAt       time.Duration // when the list changes, since startTime
 
 	mu        sync.Mutex
-	busyUntil time.Time // when it has done what it has taken
+	busyUntil time.Time // when all calls accepted so far are answered
 	callTimes []time.Duration
 }
 
+// serviceMode is how the service answers calls.
 type serviceMode int
 
 const (
@@ -287,7 +293,7 @@
 
 const (
 	oldRevision, newRevision = 5, 6
-	maxQueueDelay            = 1200 * time.Millisecond // it turns away what would wait for longer
+	maxQueueDelay            = 1200 * time.Millisecond // calls that would wait longer are rejected
 )
 
 func (s *fakeDiscoveryService) RoundTrip(req *http.Request) (*http.Response, error) {
@@ -299,7 +305,7 @@
 	switch s.modeAt(at) {
 	case refusing:
 		time.Sleep(2 * time.Millisecond)
-		answer.StatusCode, answer.Status = http.StatusServiceUnavailable, "503 overbooked"
+		answer.StatusCode, answer.Status = http.StatusServiceUnavailable, "503 overloaded"
 		return answer, nil
 	case resetting:
 		return nil, syscall.ECONNRESET
@@ -319,7 +325,7 @@
 	s.busyUntil = s.busyUntil.Add(time.Duration(cost * float64(time.Second)))
 	s.mu.Unlock()
 	if queueDelay > maxQueueDelay {
-		answer.StatusCode, answer.Status = http.StatusServiceUnavailable, "503 overbooked"
+		answer.StatusCode, answer.Status = http.StatusServiceUnavailable, "503 overloaded"
 		return answer, nil
 	}
 	select {
@@ -336,8 +342,9 @@
 	return answer, nil
 }
 
-// watchBody is the body of a watch: a change when there is one, an empty
-// line every 2 s, and nothing more once the service is in trouble.
+// watchBody is the response body of a watch: the change when the list changes, and
+// otherwise an empty line per keep-alive interval. It fails or falls silent when the
+// service does.
 type watchBody struct {
 	service       *fakeDiscoveryService
 	ctx           context.Context
@@ -370,8 +377,8 @@
 	return copy(p, "\n"), nil
 }
 
-// runTier lets a tier runTier the service for so long, each with the list known
-// if there is one, and returns when each ingress first had the new one.
+// runTier runs the discovery clients of a tier for a while, each with the last known list
+// if there is one. It returns when each of them received the new list, or 0.
 func (s *fakeDiscoveryService) runTier(gateways int, grace, duration time.Duration, lastKnown *membership.List) []time.Duration {
 	receivedAt := make([]time.Duration, gateways)
 	s.startTime = time.Now()
@@ -395,7 +402,7 @@
 
 func oldList() *membership.List { return &membership.List{Revision: oldRevision, Complete: true} }
 
-// maxCallsPerSecond returns the most calls in one second from a time on.
+// maxCallsPerSecond returns the highest number of calls in one second of the interval.
 func (s *fakeDiscoveryService) maxCallsPerSecond(from, to time.Duration) (most int) {
 	for i, at := range s.callTimes {
 		if at < from || at > to {
@@ -412,12 +419,12 @@
 	return most
 }
 
-// What discovery has counts as told 6 s after it could be reached, whatever
-// calls were refused, reset or given up before, and however many ingresses
-// there are. None of them may send to what drains a grace later.
+// A change counts as delivered 6 s after discovery could be reached again, however many
+// calls were refused, reset or not answered before, and however many ingresses there are.
+// No ingress may send requests to a backend that drains once the grace period is over.
 func TestChangeArrivesInTimeAfterOutage(t *testing.T) {
 	const outageStart, outageEnd, grace = 10 * time.Second, 41 * time.Second, 2 * time.Second
-	for name, outageMode := range map[string]serviceMode{"refused": refusing, "reset": resetting, "given up": unresponsive} {
+	for name, outageMode := range map[string]serviceMode{"refused": refusing, "reset": resetting, "unanswered": unresponsive} {
 		for _, gateways := range []int{1, 10, 350} {
 			t.Run(fmt.Sprint(name, " at ", gateways), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
@@ -429,15 +436,15 @@
 					}}
 					for i, at := range s.runTier(gateways, grace, outageEnd+20*time.Second, oldList()) {
 						if at == 0 || at > outageEnd+assumedDeliveryTime+grace/2 {
-							t.Errorf("ingress %d heard of it %v after it could", i, at-outageEnd)
+							t.Errorf("ingress %d received the change %v after the end of the outage", i, at-outageEnd)
 						}
 					}
-					t.Logf("%d calls, %d in the fullest second", len(s.callTimes), s.maxCallsPerSecond(outageStart, outageEnd))
+					t.Logf("%d calls, %d in the busiest second", len(s.callTimes), s.maxCallsPerSecond(outageStart, outageEnd))
 					if most := s.maxCallsPerSecond(outageStart, outageEnd); gateways > 100 && most > gateways*3/5 {
 						t.Errorf("%d calls in one second from %d ingresses, want no more than three fifths of them", most, gateways)
 					}
 					if n := len(s.callTimes); gateways > 100 && n > gateways*(2+int((outageEnd-outageStart)/(4*time.Second))) {
-						t.Errorf("%d calls in all from %d ingresses, more than one in 4 s each", n, gateways)
+						t.Errorf("%d calls in total from %d ingresses, more than one per 4 s each", n, gateways)
 					}
 				})
 			})
@@ -445,9 +452,9 @@
 	}
 }
 
-// A service that can serve one in nine ingresses a second, and that every call
-// turned away costs as well, is not swamped by a tier that starts at once: all
-// come to their watch, nearly as soon as it can.
+// A tier that starts at the same moment does not overload a service that can answer one
+// ninth of the ingresses per second, and for which rejected calls have a cost too: nearly
+// all ingresses get their watch within 20 s.
 func TestOverloadedServiceReachesWholeTier(t *testing.T) {
 	const gateways = 350
 	synctest.Test(t, func(t *testing.T) {
@@ -460,14 +467,14 @@
 		}
 		t.Logf("%d of %d ingresses had no watch after 20 s", withoutWatch, gateways)
 		if withoutWatch > gateways/50 {
-			t.Errorf("%d of %d ingresses had no watch after 20 s, though 9 are enough for all", withoutWatch, gateways)
+			t.Errorf("%d of %d ingresses had no watch after 20 s, though the service can answer all in 9 s", withoutWatch, gateways)
 		}
 	})
 }
 
-// An ingress that starts without a list is ready with its first one. Nine in
-// ten have it within 10 s, though a whole tier starts at once, at a service
-// that is silent or refuses all for a while, and could serve all in 3 s.
+// An ingress that starts without a list is ready when it has its first one. At least 90%
+// of a tier that starts at the same moment have one within 10 s, even if the service does
+// not answer or refuses all calls for the first 4 s. It can answer all of them in 3 s.
 func TestFirstListArrivesWithinTenSeconds(t *testing.T) {
 	const gateways, outageEnd = 300, 4 * time.Second
 	for name, outageMode := range map[string]serviceMode{"silent": unresponsive, "refusing": refusing, "overbooked": available} {
@@ -487,14 +494,15 @@
 				}
 				t.Logf("%d of %d ingresses had a list within 10 s", ready, gateways)
 				if ready < gateways*9/10 {
-					t.Errorf("%d of %d ingresses had a list within 10 s, want nine in ten", ready, gateways)
+					t.Errorf("%d of %d ingresses had a list within 10 s, want at least 90%%", ready, gateways)
 				}
 			})
 		})
 	}
 }
 
-// The time in which a list is taken in is not a silence of discovery.
+// Delivering a list may take longer than the silence timeout of the watch, which stays
+// open.
 func TestSlowDeliveryDoesNotBreakWatch(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := &fakeDiscoveryService{callsPerSecond: 1e6, startTime: time.Now(), modeAt: func(time.Duration) serviceMode { return available }, changeAt: time.Second}
@@ -515,14 +523,14 @@
 		stop()
 		<-ended
 		if len(s.callTimes) != 1 {
-			t.Errorf("%d calls are made, want one watch that goes on", len(s.callTimes))
+			t.Errorf("%d calls were made, want one watch that stays open", len(s.callTimes))
 		}
 	})
 }
 
-// A watch that worked and is lost is followed by a call before its silence
-// counts as if it had told everything, and a call that failed before what
-// came since its start does.
+// After a watch has fallen silent, the next call starts before a change that the watch
+// missed counts as delivered. After a call has failed, the next one starts before a change
+// since the start of the failed call counts as delivered.
 func TestServiceRetryMeetsDeadline(t *testing.T) {
 	for _, grace := range []time.Duration{0, 500 * time.Millisecond, 2 * time.Second} {
 		d := newDiscoveryClient("", serviceTiming(300, grace), listBytesFloor, nil)
@@ -533,22 +541,22 @@
 			d.hasList, d.lastCallStart, d.lastMessage = true, now.Add(-time.Hour), now.Add(-d.silenceTimeout)
 			delay := d.nextDelay(now)
 			if total := d.silenceTimeout + delay; delay <= 0 || total+serviceCallTimeout > assumedDeliveryTime+grace/2 {
-				t.Errorf("grace %v: a watch that fell silent is opened after %v", grace, total)
+				t.Errorf("grace period %v: a silent watch is reopened after %v", grace, total)
 			}
 			seen[delay] = true
 			d.lastCallStart, d.lastMessage = now.Add(-time.Second), time.Time{}
 			remaining := assumedDeliveryTime + grace/2 - serviceCallTimeout - time.Second
 			if delay := d.nextDelay(now); delay > remaining || delay < time.Duration((1-serviceInitialJitter)*float64(remaining)) {
-				t.Errorf("grace %v: a call that failed within a second is followed by another after %v", grace, delay)
+				t.Errorf("grace period %v: a call that failed after a second is retried after %v", grace, delay)
 			}
 		}
 		if len(seen) < 50 {
-			t.Errorf("grace %v: only %d different waits of 100", grace, len(seen))
+			t.Errorf("grace period %v: only %d different delays of 100", grace, len(seen))
 		}
 	}
 }
 
-// The settings tell whether lists are pushed or have to be asked for.
+// The settings say whether lists are pushed by an agent or come from a shared service.
 func TestDiscoveryTimingFollowsSettings(t *testing.T) {
 	for word, want := range map[string]discoveryTiming{"push": agentTiming(500 * time.Millisecond), "ask": serviceTiming(300, 500*time.Millisecond)} {
 		text := strings.NewReplacer(`"balancers":1,`, `"balancers":300,`, `"discovery":"push"`, fmt.Sprintf(`"discovery":%q`, word)).
@@ -558,14 +566,14 @@
 			t.Fatal(err)
 		}
 		if got := cfg.discoveryTiming(); got != want {
-			t.Errorf("%s: the pace is %+v, want %+v", word, got, want)
+			t.Errorf("%s: the timing is %+v, want %+v", word, got, want)
 		}
 	}
 }
 
-// The calls of all ingresses reach one service: the more there are, the less
-// often each may call, and no two in step; but never less often than the clock
-// allows after which what discovery has counts as told.
+// All ingresses call one service: the more ingresses there are, the longer the delays
+// between the calls of each, and the delays have jitter. But no delay is so long that a
+// change counts as delivered before the next call.
 func TestServiceRetryDelaysScaleWithTier(t *testing.T) {
 	const retryDeadline = assumedDeliveryTime - serviceCallTimeout
 	for _, tier := range []struct {
@@ -586,7 +594,7 @@
 				low, high := time.Duration((1-jitter)*float64(mean)), time.Duration((1+jitter)*float64(mean))
 				low, high = min(low, time.Duration((1-spread)*float64(retryDeadline))), min(high, retryDeadline)
 				if delay < low || delay > high+1 {
-					t.Errorf("%d gateways: the %s wait is %v, want %v to %v", tier.gateways, what, delay, low, high)
+					t.Errorf("%d gateways: the %s delay is %v, want %v to %v", tier.gateways, what, delay, low, high)
 				}
 			}
 			d.hasList, d.lastCallStart = true, now
@@ -602,13 +610,13 @@
 			checkDelay("next first", d.nextDelay(now), tier.initialDelay, serviceInitialJitter, serviceInitialJitter)
 		}
 		if len(seen) < 10 {
-			t.Errorf("%d gateways: only %d different first waits of 20", tier.gateways, len(seen))
+			t.Errorf("%d gateways: only %d different first delays of 20", tier.gateways, len(seen))
 		}
 	}
 }
 
-// An overbooked service may take a watch and break it before it has told
-// anything: that is a failure like any other.
+// An overloaded service may accept a watch and break it before the first message. That is
+// a failure like any other and does not reset the backoff.
 func TestEmptyWatchKeepsBackoff(t *testing.T) {
 	f := newFakeDiscovery(t)
 	d := newDiscoveryClient(f.Listener.Addr().String(), serviceTiming(1, 0), listBytesFloor, func(membership.List) {})
@@ -623,20 +631,21 @@
 		wait(t, "a watch", f.watched)
 		f.lines <- "end"
 	}
-	wait(t, "the fifth watch", f.watched) // four waits: 1, 2, 4 and 8 ms
+	wait(t, "the fifth watch", f.watched) // after four delays: 1, 2, 4 and 8 ms
 	cancel()
 	wait(t, "the end", ended)
 	if next, least := d.retryBackoff.NextBackOff(), time.Duration((1-serviceInitialJitter)*float64(16*time.Millisecond)); next < least {
-		t.Errorf("the next wait is %v, want at least %v", next, least)
+		t.Errorf("the next delay is %v, want at least %v", next, least)
 	}
 }
 
-// Unix time is turned into the gateway's clock; 0 means long ago.
+// The start time of a backend is converted from Unix time to the clock of the gateway. 0
+// means that it started long ago.
 func TestStartTimeOnGatewayClock(t *testing.T) {
 	r := newRig(t, nil, newBackend(t).member("b"))
 	r.ask(func(l *loop) {
 		if _, known := l.started(0); known {
-			t.Error("0 is taken for a time")
+			t.Error("0 is accepted as a start time")
 		}
 		now := time.Now()
 		at, known := l.started(now.Add(-3 * time.Second).UnixMilli())
@@ -646,8 +655,8 @@
 	})
 }
 
-// A new configuration moves discovery: the new address tells its whole list and
-// its own revision, and neither connections nor what is known get lost.
+// A reload may change the address of discovery. The new address sends its full list with
+// its own revision, and the connections and the list in force are kept until then.
 func TestReloadSwitchesDiscoveryAddress(t *testing.T) {
 	one, two := newBackend(t), newBackend(t)
 	r := newRig(t, func(cfg *Config) { cfg.Choice.Probing = false }, one.member("1"))
@@ -656,7 +665,7 @@
 	c.send("Q.ASK", anyone, newID(), lookup)
 	first := wait(t, "the request", one.got)
 
-	unresponsiveDiscovery := newFakeDiscovery(t) // tells nothing: the old address stays in force
+	unresponsiveDiscovery := newFakeDiscovery(t) // sends no list: the old address stays in force
 	r.server.Reload(Config{Discovery: unresponsiveDiscovery.Listener.Addr().String()})
 	r.discovery.lines <- fmt.Sprintf(`{"revision":99,"complete":false,"members":[{"id":"2","host_port":%q,"phase":"SERVING","size":1}]}`, two.addr)
 	r.eventually("a change at the old address", func(l *loop) bool { return len(l.pool.byName) == 2 })
@@ -666,15 +675,15 @@
 	close(next.gate)
 	r.server.Reload(Config{Discovery: next.Listener.Addr().String()})
 	if index := wait(t, "a watch at the new address", next.watched); index != "7" {
-		t.Errorf("the new watch begins at %s, want its own list's 7", index)
+		t.Errorf("the new watch starts at revision %s, want that of its own list, 7", index)
 	}
-	r.server.Reload(Config{Discovery: next.Listener.Addr().String()}) // to where it is: nothing is asked for
+	r.server.Reload(Config{Discovery: next.Listener.Addr().String()}) // the same address again: no call is made
 	r.eventually("the new list to be in force", func(l *loop) bool { return len(l.pool.byName) == 1 })
 	first.answer("v")
 	c.want("$1\r\nv")
 	r.ageIdleConns(1)
 	c.send("Q.ASK", anyone, newID(), lookup)
-	if again := wait(t, "a further request", one.got); again.nc != first.nc {
+	if again := wait(t, "another request", one.got); again.nc != first.nc {
 		t.Error("the connection to the backend was not kept")
 	} else {
 		again.answer("w")
@@ -683,7 +692,8 @@
 	idle(t, "a second watch at the new address", next.watched)
 }
 
-// What the old address tells after the new one's list is out of date.
+// A list from the former address that arrives after the first list of the new one is out
+// of date and dropped.
 func TestListsOfFormerSourceAreDropped(t *testing.T) {
 	got := make(chan int64, 10)
 	s := newDiscoverySources(serviceTiming(1, 0), listBytesFloor, membership.NewView(), nil)
@@ -702,12 +712,12 @@
 		revisions = append(revisions, r)
 	}
 	if fmt.Sprint(revisions) != "[1 2 3]" {
-		t.Errorf("revisions %v are handed on, want [1 2 3]", revisions)
+		t.Errorf("revisions %v are applied, want [1 2 3]", revisions)
 	}
 }
 
-// A new configuration that leaves discovery where it is asks for nothing, also
-// while a move is under way: to where it goes on, or back to where it was.
+// A reload that does not change the address of discovery starts no new source. Neither
+// does one that names the pending address or, during a switch, the current one.
 func TestReloadWithUnchangedAddressStartsNoSource(t *testing.T) {
 	var lists atomic.Int32
 	s := newDiscoverySources(serviceTiming(1, 0), listBytesFloor, membership.NewView(), nil)
@@ -720,28 +730,28 @@
 	}
 	one, accepted := setPending("one")
 	if _, again := setPending("one"); !accepted || again {
-		t.Error("an address that has told nothing yet is asked again")
+		t.Error("an address without a list yet is started again")
 	}
 	s.handleList(one, membership.List{Revision: 1, Complete: true})
 	if _, again := setPending("one"); again {
-		t.Error("the address in force is asked again")
+		t.Error("the current address is started again")
 	}
 	two, accepted := setPending("two")
 	if _, again := setPending("two"); !accepted || again {
-		t.Error("an address that is moved to is asked again")
+		t.Error("the pending address is started again")
 	}
 	if _, again := setPending("one"); again || !canceled["two"] || canceled["one"] {
-		t.Errorf("back at the address in force: asked again %t, left %v; want the other one left", again, canceled)
+		t.Errorf("back at the current address: started again %t, canceled %v; want only the pending one canceled", again, canceled)
 	}
 	s.handleList(two, membership.List{Revision: 9, Complete: true})
 	s.handleList(one, membership.List{Revision: 2})
 	if lists.Load() != 2 {
-		t.Errorf("%d lists are taken, want the two of the address in force", lists.Load())
+		t.Errorf("%d lists are applied, want the two of the current address", lists.Load())
 	}
 }
 
-// Connections to a backend that has started again lead to the process before,
-// and where its machine vanished nothing else tells.
+// Connections to a backend that has restarted lead to its previous process. If the machine
+// of that process has disappeared, nothing else reveals that they are dead.
 func TestRestartedBackendGetsNewConnections(t *testing.T) {
 	b := newBackend(t)
 	r := newRig(t, func(cfg *Config) { cfg.Choice.Probing = false }, b.member("b"))
@@ -754,20 +764,20 @@
 	r.ageIdleConns(1)
 	r.discovery.lines <- fmt.Sprintf(`{"revision":8,"complete":false,"members":[{"id":"b","host_port":%q,"phase":"SERVING","size":1,"up_since_ms":%d}]}`,
 		b.addr, time.Now().UnixMilli())
-	if nc := wait(t, "the end of the connection to the process before", b.closed); nc != first.nc {
-		t.Error("another connection ended")
+	if nc := wait(t, "the end of the connection to the previous process", b.closed); nc != first.nc {
+		t.Error("a different connection was closed")
 	}
 	c.send("Q.DO", anyone, newID(), payment, "BODY")
-	if again := wait(t, "a request after the start", b.got); again.nc == first.nc {
-		t.Error("it is on the connection to the process before")
+	if again := wait(t, "a request after the restart", b.got); again.nc == first.nc {
+		t.Error("the request is sent on the connection to the previous process")
 	} else {
 		again.answer("w")
 	}
 	c.want("$1\r\nw")
 }
 
-// A new backend may come to the address of one that is gone before discovery
-// tells of that one's end. The two share nothing: neither connections nor warmth.
+// A new backend may use the address of a former one before discovery reports the end of
+// the former one. The two share neither connections nor warm-up state.
 func TestBackendWithReusedAddressIsNew(t *testing.T) {
 	b := newBackend(t)
 	r := newRig(t, func(cfg *Config) { cfg.Choice.Probing = false }, b.member("old"))
@@ -780,19 +790,19 @@
 	r.ageIdleConns(1)
 	r.discovery.lines <- fmt.Sprintf(`{"revision":8,"complete":false,"members":[{"id":"new","host_port":%q,"phase":"SERVING","size":1,"up_since_ms":%d}]}`,
 		b.addr, time.Now().UnixMilli())
-	if nc := wait(t, "the end of the old one's connection", b.closed); nc != first.nc {
-		t.Error("another connection ended")
+	if nc := wait(t, "the end of the former backend's connection", b.closed); nc != first.nc {
+		t.Error("a different connection was closed")
 	}
-	for range 2 { // the full list may name the old one once more
+	for range 2 { // the full list may still contain the former backend
 		r.ask(func(l *loop) {
 			if len(l.pool.byName) != 1 || l.pool.byName["new"] == nil || l.pool.byName["new"].id == 1 {
-				t.Errorf("the backends are %v, want the new one alone under an id of its own", l.pool.byName)
+				t.Errorf("the backends are %v, want only the new one, under its own id", l.pool.byName)
 			}
 		})
 		r.tell(membership.List{Complete: true, Members: []*membership.Member{
 			{ID: "new", HostPort: b.addr, Phase: membership.PhaseServing, Size: 1, UpSince: time.Now().UnixMilli()}, b.member("old")}})
 	}
 	c.send("Q.ASK", anyone, newID(), lookup)
-	wait(t, "a request at the new one", b.got).answer("w")
+	wait(t, "a request at the new backend", b.got).answer("w")
 	c.want("$1\r\nw")
 }
--- a/internal/ingress/pool_test.go
+++ b/internal/ingress/pool_test.go
@@ -12,28 +12,29 @@
 	"cedarseam/internal/membership"
 )
 
-// checkInvariants holds what a pool counts and links against a walk over all backends.
+// checkInvariants compares the counters and lists of the pool with the records of all
+// backends.
 func (p *pool) checkInvariants() error {
 	availableBackends, idleConns := 0, 0
 	for id, b := range p.byID {
 		if b.id != id || p.byName[b.name] != b {
-			return fmt.Errorf("backend %d is kept as %d and as %s", b.id, id, b.name)
+			return fmt.Errorf("backend %d is stored under id %d and name %s", b.id, id, b.name)
 		}
 		if !b.unavailable.Load() {
 			availableBackends++
 		} else if len(b.idleConns) > 0 {
-			return fmt.Errorf("backend %d is stopped and has idle connections", id)
+			return fmt.Errorf("backend %d is unavailable and has idle connections", id)
 		}
 		idleConns += len(b.idleConns)
 	}
 	if availableBackends != p.availableBackends || idleConns != p.idleConns.Len() || len(p.byID) != len(p.byName) {
-		return fmt.Errorf("%d serve and %d connections are idle, counted are %d and %d", availableBackends, idleConns, p.availableBackends, p.idleConns.Len())
+		return fmt.Errorf("%d backends are available and %d connections are idle, but the counters say %d and %d", availableBackends, idleConns, p.availableBackends, p.idleConns.Len())
 	}
 	return nil
 }
 
-// What a pool counts is what a walk over it finds, whatever is told of its
-// backends and whatever becomes of its connections.
+// The counters and lists of a pool match the records of its backends after any sequence of
+// changes of backends and connections.
 func TestPoolCountersMatchRecount(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := newPool(&Config{}, nil, nil)
@@ -68,7 +69,7 @@
 	})
 }
 
-// The connection that has been idle for longest makes room, whoever's it is.
+// The connection that has been idle for longest is evicted, whichever backend it is to.
 func TestEvictIdleClosesLongestIdleConnection(t *testing.T) {
 	p := newPool(&Config{}, nil, nil)
 	var conns []*conn
@@ -85,13 +86,13 @@
 	for _, i := range []int{2, 0, 1} {
 		p.evictIdle()
 		if len(conns[i].backend.idleConns) > 0 {
-			t.Fatalf("connection %d is idle still, want it to make room", i)
+			t.Fatalf("connection %d is still idle, want it evicted", i)
 		}
 	}
 }
 
-// A connection that makes room takes a moment to close. So room is made before
-// the last place is taken: attempts that come meanwhile find one.
+// An evicted connection takes a moment to close. Idle connections are therefore evicted
+// before the limit is reached, so that attempts that start meanwhile can connect.
 func TestIdleConnectionsAreEvictedBeforeTheLimit(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -108,9 +109,9 @@
 	maxConns := cfg.Limits.maxBackendConns()
 	spare := maxConns / spareShare
 	if spare < 2 {
-		t.Fatalf("%d places leave %d to spare, too few for the test", maxConns, spare)
+		t.Fatalf("of %d connections %d are spare, too few for the test", maxConns, spare)
 	}
-	for range maxConns - spare { // all idle, and none of them ever seen to close
+	for range maxConns - spare { // all idle, and their closing is never noticed
 		near, far := net.Pipe()
 		t.Cleanup(func() { near.Close(); far.Close() })
 		p.openConns.Add(1)
@@ -126,23 +127,23 @@
 		}
 		select {
 		case status := <-outcomes:
-			t.Fatalf("attempt %d of %d ends with %d while %d of %d places are taken", i+1, spare, status, p.openConns.Load(), maxConns)
+			t.Fatalf("attempt %d of %d ended with status %d while %d of %d connections were open", i+1, spare, status, p.openConns.Load(), maxConns)
 		default:
 		}
 	}
 	if idle := p.idleConns.Len(); idle != maxConns-2*spare {
-		t.Errorf("%d connections are idle, want one less for each of %d attempts", idle, spare)
+		t.Errorf("%d connections are idle, want one fewer for each of %d attempts", idle, spare)
 	}
 }
 
-// A list holds the loop for one part of it at a time: what else happens comes in
-// between, and no part waits in the queue while another is not taken.
+// A long list blocks the loop for one batch of changes at a time: other events are handled
+// between batches, and a batch is queued only after the previous one was applied.
 func TestListChangesAreAppliedInBatches(t *testing.T) {
 	cfg, err := ParseConfig(fmt.Appendf(nil, `{"settings":%s}`, fmt.Sprintf(settings, 3600_000)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	l, err := newLoop(&cfg) // its goroutine is the test's
+	l, err := newLoop(&cfg) // run by the goroutine of the test
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -157,23 +158,23 @@
 		l.changeInParts(membership.NewView().Apply(list, nil))
 	}()
 	for applied := 0; applied < size; {
-		batch := wait(t, "a part of the list", l.events)
+		batch := wait(t, "a batch of changes", l.events)
 		handled := false
 		l.post(func(*loop) { handled = true })
 		if (<-l.events)(l); !handled {
-			t.Fatal("a second part waits before what came after the first")
+			t.Fatal("a second batch was queued before an event posted after the first")
 		}
 		batch(l)
 		if n := len(l.pool.byName) - applied; n > changeBatchSize || n == 0 {
-			t.Fatalf("a part holds %d changes, want 1 to %d", n, changeBatchSize)
+			t.Fatalf("a batch has %d changes, want 1 to %d", n, changeBatchSize)
 		}
 		applied = len(l.pool.byName)
 	}
 	wait(t, "the end of the list", changed)
 }
 
-// A list that is in force, told again, holds the loop not at all: from the same
-// address or from another.
+// A list that equals the one in force is not delivered to the loop, whether it comes from
+// the same address or from another.
 func TestUnchangedListIsNotDelivered(t *testing.T) {
 	delivered := 0
 	s := newDiscoverySources(serviceTiming(1, 0), listBytesFloor, membership.NewView(), func([]membership.Change) { delivered++ })
@@ -186,6 +187,6 @@
 		s.handleList(src, membership.List{Revision: 3})
 	}
 	if delivered != 1 {
-		t.Errorf("the loop was told %d times, want once", delivered)
+		t.Errorf("lists were delivered %d times, want once", delivered)
 	}
 }
--- a/internal/ingress/size_test.go
+++ b/internal/ingress/size_test.go
@@ -10,7 +10,7 @@
 	"cedarseam/internal/membership"
 )
 
-// heapInUse is what is in use after a collection.
+// heapInUse returns the bytes of heap and stacks in use after a garbage collection.
 func heapInUse() int64 {
 	runtime.GC()
 	var m runtime.MemStats
@@ -18,15 +18,15 @@
 	return int64(m.HeapAlloc + m.StackInuse)
 }
 
-// A tier of 1,024 ingresses and 1,024 backends is followed whole, by the list,
-// by changes and by requests of a thousand customers whose sets are as large,
-// well inside the least memory that is told on any day played.
+// An ingress in a tier of 1,024, with 1,024 backends, twenty full lists that replace all
+// of them, and requests of 1,000 customers that may use all backends, needs at most a
+// quarter of a memory limit of 64 MB, the smallest that deployments grant.
 func TestMemoryOfThousandBackendsAndIngresses(t *testing.T) {
 	const size, memoryLimit = 1024, 64 << 20
 	before := heapInUse()
 	b := newBackend(t)
 	members := []*membership.Member{b.member("real")}
-	for i := 1; i < size; i++ { // nobody listens there
+	for i := 1; i < size; i++ { // no backend listens on these addresses
 		members = append(members, &membership.Member{ID: fmt.Sprintf("s-%08x", i), HostPort: fmt.Sprintf("127.0.0.1:%d", i),
 			Locality: "a", Flavor: "std", Phase: membership.PhaseDraining, Size: 1})
 	}
@@ -55,13 +55,13 @@
 			if line := wait(t, "the answer", answer); line == "$1\r\nv" {
 				served++
 			}
-		case <-answer: // refused: the ingress has a thousandth of the quota's window
+		case <-answer: // refused: the ingress has only its share, about a thousandth, of the quota
 		}
 	}
 	if served < 100 {
-		t.Errorf("%d of 1000 requests are served", served)
+		t.Errorf("%d of 1000 requests are served, want at least 100", served)
 	}
-	for revision := 8; revision < 28; revision++ { // every backend is replaced, twenty times over
+	for revision := 8; revision < 28; revision++ { // all backends but one are replaced, twenty times
 		var lines []string
 		for i := 1; i < size; i++ {
 			lines = append(lines, fmt.Sprintf(`{"id":"s-%d-%08x","host_port":"127.0.0.1:%d","phase":"DRAINING","size":1}`, revision, i, i))
@@ -72,7 +72,7 @@
 	r.eventually("the last list", func(l *loop) bool { return l.pool.byName["s-27-00000001"] != nil })
 	waitForBackends(size)
 	if used := heapInUse() - before; used > memoryLimit/4 {
-		t.Errorf("%d KB are in use, want a quarter of the %d MB told at most", used>>10, memoryLimit>>20)
+		t.Errorf("%d KB are in use, want at most a quarter of the limit of %d MB", used>>10, memoryLimit>>20)
 	} else {
 		t.Logf("%d KB in use, %d requests served", used>>10, served)
 	}
