--- a/internal/ingress/attempt.go
+++ b/internal/ingress/attempt.go
@@ -96,6 +96,7 @@
 	c.readAnswers()
 }
 
+// errDialNotAllowed is returned by dial if no connection may be opened.
 var errDialNotAllowed = errors.New("too many connections to backends, or the backend is unavailable")
 
 // dial opens a connection to the backend, within the limit of connections to backends.
--- a/internal/ingress/config.go
+++ b/internal/ingress/config.go
@@ -61,9 +61,12 @@
 	debug.SetGCPercent(gcPercent)
 }
 
+// maxClients returns the maximum number of connections of clients.
 func (l Limits) maxClients() int {
 	return max(1, int(clientSocketShare*float64(l.Sockets-reservedSockets)))
 }
+
+// maxBackendConns returns the maximum number of connections to backends.
 func (l Limits) maxBackendConns() int {
 	return max(1, int(backendSocketShare*float64(l.Sockets-reservedSockets)))
 }
@@ -87,10 +90,12 @@
 	Log           *eventlog.Log // nil disables logging
 	Choice        choice.Config
 
-	classes            map[string]int
-	plans              map[string]int
-	zones              map[string]int
-	kinds              map[string]int
+	// The index of each class, plan, zone and kind in the settings, by its name.
+	classes map[string]int
+	plans   map[string]int
+	zones   map[string]int
+	kinds   map[string]int
+
 	backendIdleTimeout time.Duration // backends close connections that are idle for this long
 	connectTimeout     time.Duration
 	centralDiscovery   bool // discovery is one service for all ingresses, not a local agent
--- a/internal/ingress/conn.go
+++ b/internal/ingress/conn.go
@@ -35,7 +35,7 @@
 
 	idleSince        time.Time     // time of its last answer; only used by the loop
 	idleElement      *list.Element // its element in pool.idleConns; only used by the loop
-	partialDeadlines int           // number of partialAnswerTimeouts of the current answer; only used by the reader
+	partialDeadlines int           // number set for the current answer; only used by the reader
 
 	mu       sync.Mutex
 	current  *attempt // nil while the connection is idle
--- a/internal/ingress/control.go
+++ b/internal/ingress/control.go
@@ -22,6 +22,7 @@
 	sources *discoverySources
 }
 
+// newCore returns a core that starts from the last known list of the configuration.
 func newCore(cfg Config) (*core, error) {
 	l, err := newLoop(&cfg)
 	if err != nil {
--- a/internal/ingress/discovery.go
+++ b/internal/ingress/discovery.go
@@ -68,8 +68,9 @@
 // failed, so no delay is longer than that allows: the tier calls as often as it has to,
 // spread evenly, and no more often.
 const (
-	// serviceCallTimeout is the time that is reserved for the call itself. It ends half
-	// of the grace period of a drain after a change counts as delivered.
+	// serviceCallTimeout is the time reserved for the call itself: a call that starts at
+	// retryDeadline ends half a grace period after a change counts as delivered. It also
+	// limits a call for the full list.
 	serviceCallTimeout = 1500 * time.Millisecond
 	// serviceSilenceTimeout is the interval of the keep-alive lines and a margin. The
 	// same limit applies to the first message. If a whole tier gives up its watches or
@@ -235,7 +236,7 @@
 // discovery may have had since the last message, or since the start of the last call if it
 // brought none, counts as delivered. Jitter, most of all that of the first delay,
 // desynchronizes a tier that lost discovery at the same moment, and keeps it so. Without a
-// list an ingress cannot serve clients, and the deadline of the next call is halved.
+// list an ingress cannot serve clients, so it halves the deadline of the next call.
 func (d *discoveryClient) nextDelay(now time.Time) time.Duration {
 	start, retryDeadline, jitter := d.lastCallStart, d.retryDeadline, d.retryJitter
 	if !d.lastMessage.IsZero() {
@@ -317,4 +318,5 @@
 	}
 }
 
+// errSilenceTimeout is the error of a watch that was closed because it fell silent.
 var errSilenceTimeout = errors.New("no message arrived in time")
--- a/internal/ingress/discovery_test.go
+++ b/internal/ingress/discovery_test.go
@@ -91,7 +91,7 @@
 
 // If the first call takes longer than the startup timeout, onFirstResult is called once
 // nevertheless, and the client gets the list when discovery answers.
-func TestDiscoveryIsRetried(t *testing.T) {
+func TestStartupTimeoutReportsFirstResultOnce(t *testing.T) {
 	f := newFakeDiscovery(t)
 	d := newDiscoveryClient(f.Listener.Addr().String(), serviceTiming(1, 0), listBytesFloor, func(membership.List) {})
 	d.startupTimeout = 20 * time.Millisecond
