--- a/internal/ingress/conn_test.go
+++ b/internal/ingress/conn_test.go
@@ -16,7 +16,7 @@
 	"cedarseam/choice"
 )
 
-func TestAnswersAreUnderstood(t *testing.T) {
+func TestNextReply(t *testing.T) {
 	cfg, err := ParseConfig([]byte(`{"settings":` + strings.Replace(settings, "%d", "1", 1) + `}`))
 	if err != nil {
 		t.Fatal(err)
@@ -31,7 +31,7 @@
 			reply{status: choice.OK, value: []byte("$0\r\n\r\n"), load: load}},
 		{"*3\r\n$-1\r\n$6\r\nused=0\r\n$-1\r\n", reply{status: choice.Error, metered: true}},
 		{"*3\r\n$1\r\nv\r\n:5\r\n+x\r\n", reply{status: choice.OK, value: []byte("$1\r\nv\r\n")}},
-		// figures that can't be read, or beyond reason, are left out; the value stays
+		// invalid or implausible figures are ignored, and the value is kept
 		{"*3\r\n$1\r\nv\r\n$8\r\nused=-37\r\n$-1\r\n", reply{status: choice.OK, value: []byte("$1\r\nv\r\n")}},
 		{"*3\r\n$1\r\nv\r\n$8\r\nused=1e9\r\n$-1\r\n", reply{status: choice.OK, value: []byte("$1\r\nv\r\n")}},
 		{"*3\r\n$1\r\nv\r\n$11\r\nused=999999\r\n$-1\r\n", reply{status: choice.OK, value: []byte("$1\r\nv\r\n")}},
@@ -40,7 +40,7 @@
 		{"$25\r\ninflight=7,inflight=77.00\r\n", reply{status: choice.OK}},
 		{"$10\r\ninflight=7\r\n", reply{status: choice.OK}},
 		{"$31\r\ninflight=7000000,latency_ms=1.5\r\n", reply{status: choice.OK}},
-		// a spoilt line proves nothing
+		// an invalid line does not count as a rejection
 		{"-BUSY \x01\xff\r\n", reply{status: choice.Error}},
 		{"-BUSYx\r\n", reply{status: choice.Error}},
 		{"-ERR failed\r\n", reply{status: choice.Error}},
@@ -56,32 +56,33 @@
 	} {
 		for cut := range c.text {
 			if _, n, err := cfg.nextReply([]byte(c.text[:cut])); n != 0 || err != nil {
-				t.Errorf("%q: %d bytes taken, %v", c.text[:cut], n, err)
+				t.Errorf("incomplete %q: %d bytes consumed, error %v, want neither", c.text[:cut], n, err)
 			}
 		}
 		got, n, err := cfg.nextReply([]byte(c.text))
 		if err != nil || n != len(c.text) || !reflect.DeepEqual(got, c.want) {
-			t.Errorf("%q is understood as %+v (%d bytes, %v), want %+v", c.text, got, n, err, c.want)
+			t.Errorf("%q is parsed as %+v (%d bytes, error %v), want %+v", c.text, got, n, err, c.want)
 		}
 	}
 	for _, text := range []string{"$9223372036854775807\r\nxx\r\n", "*1\r\n", "*3\r\n$x", "*3\r\n$3000000000", "*3\r\n$70000\r\n",
 		"*3\r\n$1\r\nvv\r\n", "*3\r\n*1\r\n", "*-1\r\n", "*3\r\n$-2", "*3\r\n$1\r\nv\r\n$9999\r\n", "*3\r\n$1\r\nv\r\nx", "\x00", "noise",
 		"+OK\n", "-" + strings.Repeat("x", maxLineBytes)} {
 		if _, _, err := cfg.nextReply([]byte(text)); err == nil {
-			t.Errorf("%.40q: no error", text)
+			t.Errorf("%.40q: no error, want one", text)
 		}
 	}
 }
 
-// An unsafe request that may have run gets no second attempt and no refusal.
-func TestPaymentThatMayHaveRunFails(t *testing.T) {
+// A request that must not run twice, and that may have run, gets no second attempt. It
+// fails rather than being refused, as a refusal would say that it has not run.
+func TestNonRepeatableRequestThatMayHaveRunFails(t *testing.T) {
 	one, two := newBackend(t), newBackend(t)
 	r := newRig(t, nil, one.member("1"), two.member("2"))
 	for _, end := range []func(received){
 		received.reset,
 		func(got received) { got.nc.Close() },
 		func(got received) { got.line("-ERR failed") },
-		// What can't be read ends at once, though the connection stays open.
+		// An invalid answer ends the attempt at once, though the connection stays open.
 		func(got received) { got.line("$x") },
 		func(got received) { got.line("*3\r\n$3000000000") },
 		func(got received) { got.line("-BUSY \x01") },
@@ -102,8 +103,8 @@
 	idle(t, "a second attempt", two.got)
 }
 
-// One that was turned away has not run, and goes to the other backend.
-func TestPaymentThatWasTurnedAwayGoesOn(t *testing.T) {
+// A request that a backend rejects has not run, and is retried on the other backend.
+func TestRejectedNonRepeatableRequestIsRetried(t *testing.T) {
 	one, two := newBackend(t), newBackend(t)
 	r := newRig(t, nil, one.member("1"), two.member("2"))
 	c := r.dial()
@@ -121,33 +122,35 @@
 	c.want("$1\r\nv")
 }
 
-func TestPaymentGoesOnWhenTheConnectionIsRefused(t *testing.T) {
-	down, err := net.Listen("tcp", "127.0.0.1:0")
+// A request whose connection is refused has not run, and is retried.
+func TestNonRepeatableRequestIsRetriedAfterRefusedConnection(t *testing.T) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	addr := down.Addr().String()
-	down.Close()
+	addr := listener.Addr().String()
+	listener.Close()
 	b := newBackend(t)
-	dead := b.member("dead")
-	dead.HostPort = addr
-	r := newRig(t, nil, b.member("b"), dead)
+	unreachable := b.member("unreachable")
+	unreachable.HostPort = addr
+	r := newRig(t, nil, b.member("b"), unreachable)
 	c := r.dial()
-	for range 10 { // some of them try the dead one first
+	for range 10 { // some of the requests try the unreachable backend first
 		c.send("Q.DO", anyone, newID(), payment, "BODY")
 		wait(t, "the request", b.got).answer("v")
 		c.want("$1\r\nv")
 	}
 }
 
-// rest waits until so many connections are idle and lets them have rested.
-func (r *rig) rest(connections int) {
+// ageIdleConns waits until the given number of connections is idle, and makes them old
+// enough to be reused.
+func (r *rig) ageIdleConns(connections int) {
 	r.Helper()
 	r.eventually("the connections to be idle", func(l *loop) bool {
 		n := 0
 		for _, b := range l.pool.byID {
-			for _, c := range b.idle {
-				c.rested = c.rested.Add(-reuseRest)
+			for _, c := range b.idleConns {
+				c.idleSince = c.idleSince.Add(-reuseDelay)
 				n++
 			}
 		}
@@ -155,34 +158,34 @@
 	})
 }
 
-// Answers come in order, so a second request on a busy connection would wait;
-// an idle one is used again.
-func TestConnectionsCarryOneRequestAtATimeAndAreUsedAgain(t *testing.T) {
+// Answers arrive in order, so a second request on a busy connection would have to wait:
+// it uses another connection. Idle connections are reused.
+func TestConnectionsAreReusedWithoutPipelining(t *testing.T) {
 	b := newBackend(t)
 	r := newRig(t, func(cfg *Config) { cfg.Choice.Probing = false }, b.member("b"))
 	c := r.dial()
 	c.write(encode("Q.ASK", anyone, newID(), lookup) + encode("Q.ASK", anyone, newID(), lookup))
 	one, two := wait(t, "a request", b.got), wait(t, "another", b.got)
 	if one.nc == two.nc {
-		t.Error("two requests on one connection at a time")
+		t.Error("two requests are in flight on one connection")
 	}
 	one.answer("v")
 	two.answer("v")
 	c.want("$1\r\nv")
 	c.want("$1\r\nv")
-	r.rest(2)
+	r.ageIdleConns(2)
 	c.send("Q.ASK", anyone, newID(), lookup)
 	if three := wait(t, "a third", b.got); three.nc != one.nc && three.nc != two.nc {
-		t.Error("a new connection though two are idle")
+		t.Error("a new connection is used though two are idle")
 	} else {
 		three.answer("v")
 	}
 	c.want("$1\r\nv")
 }
 
-// A request on a connection that the backend has closed would be a reset, and
-// lost if unsafe: a closed one is noticed while idle.
-func TestClosedIdleConnectionIsNotUsed(t *testing.T) {
+// A request on a connection that the backend has closed ends in a reset, and is lost if it
+// must not run twice. So the end of an idle connection is detected.
+func TestClosedIdleConnectionIsNotReused(t *testing.T) {
 	b := newBackend(t)
 	r := newRig(t, func(cfg *Config) { cfg.Choice.Probing = false }, b.member("b"))
 	c := r.dial()
@@ -192,50 +195,51 @@
 		got.answer("v")
 		c.want("$1\r\nv")
 		got.nc.Close()
-		r.eventually("the connection to be dropped", func(l *loop) bool { return l.pool.open.Load() == 0 })
+		r.eventually("the connection to be closed", func(l *loop) bool { return l.pool.openConns.Load() == 0 })
 	}
 }
 
-// The ingress drops idle connections itself, well before the backend does.
-func TestIdleConnectionIsDroppedBeforeTheBackendCloses(t *testing.T) {
+// The ingress closes idle connections itself, well before the backend does.
+func TestIdleConnectionIsClosedBeforeBackendTimeout(t *testing.T) {
 	b := newBackend(t)
-	r := newRig(t, func(cfg *Config) { cfg.connIdle, cfg.Choice.Probing = 100*time.Millisecond, false }, b.member("b"))
+	r := newRig(t, func(cfg *Config) { cfg.backendIdleTimeout, cfg.Choice.Probing = 100*time.Millisecond, false }, b.member("b"))
 	c := r.dial()
 	c.send("Q.ASK", anyone, newID(), lookup)
 	got := wait(t, "the request", b.got)
 	got.answer("v")
 	c.want("$1\r\nv")
 	if nc := wait(t, "the end of the idle connection", b.closed); nc != got.nc {
-		t.Error("another connection ended")
+		t.Error("a different connection was closed")
 	}
 	c.send("Q.ASK", anyone, newID(), lookup)
 	wait(t, "the next request", b.got).answer("w")
 	c.want("$1\r\nw")
 }
 
-// At the limit of descriptors an idle connection to another backend makes room.
-func TestIdleConnectionMakesRoomForAnother(t *testing.T) {
+// At the limit of file descriptors an idle connection to another backend is evicted.
+func TestEvictIdleClosesConnectionOfAnotherBackend(t *testing.T) {
 	one, two := newBackend(t), newBackend(t)
-	r := newRig(t, func(cfg *Config) { cfg.Limits.Sockets, cfg.Choice.Probing = 5, false }, one.member("1")) // one for backends
+	r := newRig(t, func(cfg *Config) { cfg.Limits.Sockets, cfg.Choice.Probing = 5, false }, one.member("1")) // one connection to backends
 	c := r.dial()
 	c.send("Q.ASK", anyone, newID(), lookup)
 	wait(t, "the request", one.got).answer("v")
 	c.want("$1\r\nv")
 	r.ask(func(l *loop) {
-		l.pool.member(two.member("2"), choice.Ready)
-		l.pool.evict()
+		l.pool.updateMember(two.member("2"), choice.Ready)
+		l.pool.evictIdle()
 	})
 	wait(t, "the end of the idle connection", one.closed)
 }
 
-// bench is one connection of a pool without a loop, its other end, and the outcomes.
-type bench struct {
+// connFixture is one connection to a backend in a pool without a loop, with the backend's
+// end of it and the outcomes of attempts.
+type connFixture struct {
 	*conn
-	far   net.Conn
-	ended chan choice.Status
+	peer     net.Conn
+	outcomes chan choice.Status
 }
 
-func newBench(t *testing.T) *bench {
+func newConnFixture(t *testing.T) *connFixture {
 	t.Helper()
 	cfg, err := ParseConfig(fmt.Appendf(nil, `{"settings":%s}`, fmt.Sprintf(settings, 3600_000)))
 	if err != nil {
@@ -250,116 +254,116 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	far, err := ln.Accept()
+	peer, err := ln.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { nc.Close(); far.Close() })
-	far.SetDeadline(time.Now().Add(patience))
-	b := &bench{far: far, ended: make(chan choice.Status, 1)}
-	p := newPool(&cfg, func(_ *attempt, r reply, _ time.Duration, _ *conn) { b.ended <- r.status }, func(*conn) {})
-	b.conn = &conn{nc: nc, to: &backend{id: 1, addr: ln.Addr().String()}, pool: p}
-	return b
+	t.Cleanup(func() { nc.Close(); peer.Close() })
+	peer.SetDeadline(time.Now().Add(patience))
+	f := &connFixture{peer: peer, outcomes: make(chan choice.Status, 1)}
+	p := newPool(&cfg, func(_ *attempt, r reply, _ time.Duration, _ *conn) { f.outcomes <- r.status }, func(*conn) {})
+	f.conn = &conn{nc: nc, backend: &backend{id: 1, addr: ln.Addr().String()}, pool: p}
+	return f
 }
 
-// attempt makes an attempt of a payment for the connection's backend.
-func (b *bench) attempt(t *testing.T) *attempt {
+// newAttempt returns an attempt of a payment to the backend of the connection.
+func (f *connFixture) newAttempt(t *testing.T) *attempt {
 	t.Helper()
-	cmd, err := b.pool.cfg.parseCommand([][]byte{
+	cmd, err := f.pool.cfg.parseCommand([][]byte{
 		[]byte("Q.DO"), []byte(anyone), []byte(someID), []byte(payment), []byte("BODY")})
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &attempt{pool: b.pool, request: &request{command: cmd}, to: b.to, started: time.Now(),
-		deadline: time.Now().Add(patience), wrote: make(chan struct{})}
+	return &attempt{pool: f.pool, request: &request{command: cmd}, backend: f.backend, started: time.Now(),
+		deadline: time.Now().Add(patience), writeDone: make(chan struct{})}
 }
 
-// wantNothing tells that the other end saw the connection end without a byte.
-func (b *bench) wantNothing(t *testing.T) {
+// wantNoBytes checks that the backend saw the connection end without a byte.
+func (f *connFixture) wantNoBytes(t *testing.T) {
 	t.Helper()
-	if got, err := io.ReadAll(b.far); err != nil || len(got) > 0 {
-		t.Errorf("the backend got %q, %v; want nothing", got, err)
+	if got, err := io.ReadAll(f.peer); err != nil || len(got) > 0 {
+		t.Errorf("the backend received %q, error %v; want nothing", got, err)
 	}
 }
 
-func (b *bench) want(t *testing.T, status choice.Status) {
+func (f *connFixture) wantStatus(t *testing.T, status choice.Status) {
 	t.Helper()
-	if got := wait(t, "the outcome", b.ended); got != status {
-		t.Errorf("outcome %d, want %d", got, status)
+	if got := wait(t, "the outcome", f.outcomes); got != status {
+		t.Errorf("status %d, want %d", got, status)
 	}
 }
 
-// A backend that is told to drain while an attempt waits for its connection
-// gets nothing of it, and the attempt counts as never run.
-func TestNothingNewGoesToADrainingBackend(t *testing.T) {
-	b := newBench(t)
-	b.to.stopped.Store(true)
-	a := b.attempt(t)
-	b.send(a)
-	go b.read()
-	b.want(t, choice.ConnectFailed)
-	b.wantNothing(t)
-
-	a = b.attempt(t) // and no new connection either
-	b.pool.dialer.Control = func(string, string, syscall.RawConn) error {
-		t.Error("a draining backend gets a new connection")
+// If a backend starts to drain while an attempt waits for its connection, the attempt is
+// not sent and counts as not run.
+func TestDrainingBackendGetsNoNewAttempt(t *testing.T) {
+	f := newConnFixture(t)
+	f.backend.unavailable.Store(true)
+	a := f.newAttempt(t)
+	f.send(a)
+	go f.readAnswers()
+	f.wantStatus(t, choice.ConnectFailed)
+	f.wantNoBytes(t)
+
+	a = f.newAttempt(t) // nor is a new connection opened
+	f.pool.dialer.Control = func(string, string, syscall.RawConn) error {
+		t.Error("a new connection to a draining backend is opened")
 		return nil
 	}
 	a.run(nil)
-	b.want(t, choice.ConnectFailed)
+	f.wantStatus(t, choice.ConnectFailed)
 }
 
-func TestAbortEndsADial(t *testing.T) {
-	b := newBench(t)
-	a := b.attempt(t)
-	b.pool.dialer.ControlContext = func(ctx context.Context, _, _ string, _ syscall.RawConn) error {
+func TestAbortCancelsDial(t *testing.T) {
+	f := newConnFixture(t)
+	a := f.newAttempt(t)
+	f.pool.dialer.ControlContext = func(ctx context.Context, _, _ string, _ syscall.RawConn) error {
 		a.abort()
 		<-ctx.Done()
 		return ctx.Err()
 	}
 	a.deadline = time.Now().Add(2 * patience)
-	b.pool.dialer.Timeout = 2 * patience
+	f.pool.dialer.Timeout = 2 * patience
 	go a.run(nil)
-	b.want(t, choice.ConnectFailed)
+	f.wantStatus(t, choice.ConnectFailed)
 }
 
-// The loop may hand out a connection that has closed a moment ago: nothing was
-// written, so the attempt takes a new one.
-func TestClosedConnectionTakesNoAttempt(t *testing.T) {
-	b := newBench(t)
-	b.far.Close()
-	b.read()
-	if b.send(b.attempt(t)) {
+// The loop may pick a connection that has just been closed. Nothing is written to it, so
+// the attempt can use a new one.
+func TestSendFailsOnClosedConnection(t *testing.T) {
+	f := newConnFixture(t)
+	f.peer.Close()
+	f.readAnswers()
+	if f.send(f.newAttempt(t)) {
 		t.Error("an attempt is sent on a closed connection")
 	}
 }
 
-func TestAttemptCalledOffBeforeItsFirstByteNeverRan(t *testing.T) {
-	b := newBench(t)
-	a := b.attempt(t)
+func TestAbortBeforeFirstByteCountsAsUnsent(t *testing.T) {
+	f := newConnFixture(t)
+	a := f.newAttempt(t)
 	a.abort()
-	b.send(a)
-	go b.read()
-	b.want(t, choice.ConnectFailed)
-	b.wantNothing(t)
+	f.send(a)
+	go f.readAnswers()
+	f.wantStatus(t, choice.ConnectFailed)
+	f.wantNoBytes(t)
 
-	a = b.attempt(t)
+	a = f.newAttempt(t)
 	a.abort()
 	a.run(nil)
-	b.want(t, choice.ConnectFailed)
+	f.wantStatus(t, choice.ConnectFailed)
 }
 
-// Where the settings allow no cancels, a request whose client has left while a
-// connection was coming up goes nowhere all the same.
-func TestNothingIsSentOnForAClientThatLeft(t *testing.T) {
+// If the client disconnects while the connection to the backend is being dialed, the
+// request is not sent, even with settings that do not allow canceling attempts.
+func TestRequestOfDisconnectedClientIsNotSent(t *testing.T) {
 	b := newBackend(t)
 	r := newRig(t, func(cfg *Config) { cfg.Choice.Cancelling, cfg.Choice.Probing = false, false }, b.member("b"))
-	dials, up := make(chan struct{}, 10), make(chan struct{})
+	dials, allowDial := make(chan struct{}, 10), make(chan struct{})
 	r.ask(func(l *loop) {
 		l.pool.dialer.ControlContext = func(ctx context.Context, _, _ string, _ syscall.RawConn) error {
 			dials <- struct{}{}
 			select {
-			case <-up:
+			case <-allowDial:
 				return nil
 			case <-ctx.Done():
 				return ctx.Err()
@@ -370,74 +374,75 @@
 	c.send("Q.DO", anyone, newID(), payment, "BODY")
 	wait(t, "a dial", dials)
 	c.nc.Close()
-	r.eventually("the request to be over", func(l *loop) bool {
+	r.eventually("the request to end", func(l *loop) bool {
 		for _, q := range l.requests {
 			return q.over
 		}
 		return true
 	})
-	close(up) // only now does the connection come up
-	r.eventually("the request to be forgotten", func(l *loop) bool { return len(l.requests) == 0 })
-	idle(t, "a request sent on", b.got)
+	close(allowDial) // the connection is opened only now
+	r.eventually("the request to be removed", func(l *loop) bool { return len(l.requests) == 0 })
+	idle(t, "a request at the backend", b.got)
 }
 
-func TestAttemptOfARequestThatIsOver(t *testing.T) {
-	b := newBench(t)
-	a := b.attempt(t)
-	a.withdraw() // while it waited for its connection
-	b.send(a)
-	go b.read()
-	b.want(t, choice.CancelledBeforeSend)
-	b.wantNothing(t)
-
-	a = b.attempt(t)
-	a.withdraw()
+func TestFinishedRequestCancelsOnlyUnsentAttempts(t *testing.T) {
+	f := newConnFixture(t)
+	a := f.newAttempt(t)
+	a.cancelUnsent() // while the attempt waits for its connection
+	f.send(a)
+	go f.readAnswers()
+	f.wantStatus(t, choice.CancelledBeforeSend)
+	f.wantNoBytes(t)
+
+	a = f.newAttempt(t)
+	a.cancelUnsent()
 	a.run(nil)
-	b.want(t, choice.CancelledBeforeSend)
-
-	b = newBench(t)
-	a = b.attempt(t)
-	b.send(a)
-	a.withdraw() // one that is out goes on
-	go b.read()
-	fmt.Fprint(b.far, "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n")
-	b.want(t, choice.OK)
+	f.wantStatus(t, choice.CancelledBeforeSend)
+
+	f = newConnFixture(t)
+	a = f.newAttempt(t)
+	f.send(a)
+	a.cancelUnsent() // an attempt in flight continues
+	go f.readAnswers()
+	fmt.Fprint(f.peer, "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n")
+	f.wantStatus(t, choice.OK)
 }
 
-// shortConn loses its peer before the last byte.
-type shortConn struct{ net.Conn }
+// shortWriteConn fails to write the last byte.
+type shortWriteConn struct{ net.Conn }
 
-func (c shortConn) Write(b []byte) (int, error) {
+func (c shortWriteConn) Write(b []byte) (int, error) {
 	n, _ := c.Conn.Write(b[:len(b)-1])
 	return n, io.ErrShortWrite
 }
 
-func TestAttemptWithoutItsLastByteNeverRan(t *testing.T) {
-	b := newBench(t)
-	b.nc = shortConn{b.nc}
-	b.send(b.attempt(t))
-	go b.read()
-	b.want(t, choice.ConnectFailed)
+func TestIncompleteWriteCountsAsUnsent(t *testing.T) {
+	f := newConnFixture(t)
+	f.nc = shortWriteConn{f.nc}
+	f.send(f.newAttempt(t))
+	go f.readAnswers()
+	f.wantStatus(t, choice.ConnectFailed)
 }
 
-// The time of an idle connection that runs out just as an attempt starts is
-// not the attempt's.
-func TestIdleTimeDoesNotEndAnAttempt(t *testing.T) {
-	b := newBench(t)
-	a := b.attempt(t)
-	b.send(a)
-	b.retire() // as if the idle deadline had passed
-	go b.read()
-	if got := a.broken(os.ErrDeadlineExceeded); got != choice.OK {
-		t.Errorf("the attempt ends with %d", got)
-	}
-	b.nc.SetDeadline(a.deadline)
-	fmt.Fprint(b.far, "-BUSY\r\n")
-	b.want(t, choice.Refused)
+// If the idle timeout of a connection expires just as an attempt starts, the attempt
+// continues.
+func TestIdleDeadlineDoesNotEndAttempt(t *testing.T) {
+	f := newConnFixture(t)
+	a := f.newAttempt(t)
+	f.send(a)
+	f.closeAsync() // as if the idle deadline had passed
+	go f.readAnswers()
+	if got := a.statusAfterError(os.ErrDeadlineExceeded); got != choice.OK {
+		t.Errorf("the attempt ends with status %d, want it to continue", got)
+	}
+	f.nc.SetDeadline(a.deadline)
+	fmt.Fprint(f.peer, "-BUSY\r\n")
+	f.wantStatus(t, choice.Refused)
 }
 
-// No second attempt may overlap: the connection is closed before the outcome is told.
-func TestConnectionIsClosedBeforeTheOutcomeIsTold(t *testing.T) {
+// The connection is closed before the outcome is reported, so that a second attempt does
+// not overlap with the first.
+func TestConnectionIsClosedBeforeOutcomeIsReported(t *testing.T) {
 	for _, c := range []struct {
 		end  func(*attempt)
 		want choice.Status
@@ -448,79 +453,79 @@
 			a.conn.nc.SetDeadline(a.deadline)
 		}, choice.Timeout},
 	} {
-		b := newBench(t)
+		f := newConnFixture(t)
 		closed := false
-		b.pool.ended = func(_ *attempt, r reply, _ time.Duration, _ *conn) {
-			_, err := b.nc.Write([]byte("x"))
+		f.pool.onAttemptEnd = func(_ *attempt, r reply, _ time.Duration, _ *conn) {
+			_, err := f.nc.Write([]byte("x"))
 			closed = errors.Is(err, net.ErrClosed)
-			b.ended <- r.status
+			f.outcomes <- r.status
 		}
-		a := b.attempt(t)
-		b.send(a)
+		a := f.newAttempt(t)
+		f.send(a)
 		c.end(a)
-		go b.read()
-		b.want(t, c.want)
+		go f.readAnswers()
+		f.wantStatus(t, c.want)
 		if !closed {
-			t.Errorf("outcome %d was told on an open connection", c.want)
+			t.Errorf("status %d was reported while the connection was open", c.want)
 		}
 	}
 }
 
-// A second copy of an answer, or noise, may come behind it. Nothing tells whose
-// an answer is, so the next request must not be on that connection by then.
-func TestConnectionRestsBeforeItIsUsedAgain(t *testing.T) {
-	b := newBench(t)
-	p := b.pool
-	p.byID[b.to.id] = b.to
-	other := &conn{nc: b.nc, to: b.to, pool: p}
-	p.put(b.conn)
-	p.put(other)
-	if c := p.rested(b.to); c != nil {
-		t.Error("a connection is used again at once")
+// A duplicate of an answer, or stray bytes, may follow it. Answers carry no request id, so
+// the next request must not be sent on that connection yet.
+func TestReuseDelay(t *testing.T) {
+	f := newConnFixture(t)
+	p := f.pool
+	p.byID[f.backend.id] = f.backend
+	other := &conn{nc: f.nc, backend: f.backend, pool: p}
+	p.putIdle(f.conn)
+	p.putIdle(other)
+	if c := p.takeIdle(f.backend); c != nil {
+		t.Error("a connection is reused at once")
 	}
-	for _, c := range b.to.idle {
-		c.rested = c.rested.Add(-reuseRest)
+	for _, c := range f.backend.idleConns {
+		c.idleSince = c.idleSince.Add(-reuseDelay)
 	}
-	if c := p.rested(b.to); c != b.conn {
-		t.Error("the longest rested one is not taken first")
+	if c := p.takeIdle(f.backend); c != f.conn {
+		t.Error("the connection that has been idle for longest is not reused first")
 	}
-	if len(b.to.idle) != 1 || b.to.idle[0] != other {
-		t.Errorf("%d connections are idle, want the other one", len(b.to.idle))
+	if len(f.backend.idleConns) != 1 || f.backend.idleConns[0] != other {
+		t.Errorf("%d connections are idle, want the other one", len(f.backend.idleConns))
 	}
 }
 
-// What has come already is seen before the first byte of the next request,
-// which then goes elsewhere unharmed.
-func TestConnectionWithBytesLeftOverIsNotUsedAgain(t *testing.T) {
-	b := newBench(t)
-	fmt.Fprint(b.far, "noise")
-	for b.quiet() { // until it has come
+// Unread bytes are detected before the first byte of the next request, which can then use
+// another connection.
+func TestConnectionWithUnreadBytesIsNotReused(t *testing.T) {
+	f := newConnFixture(t)
+	fmt.Fprint(f.peer, "noise")
+	for f.nothingToRead() { // until the bytes have arrived
 		time.Sleep(time.Millisecond)
 	}
-	if b.send(b.attempt(t)) {
-		t.Error("the connection is used")
+	if f.send(f.newAttempt(t)) {
+		t.Error("an attempt is sent on a connection with unread bytes")
 	}
-	b.read()
-	if err := b.nc.SetDeadline(time.Time{}); !errors.Is(err, net.ErrClosed) {
-		t.Errorf("the connection is open: %v", err)
+	f.readAnswers()
+	if err := f.nc.SetDeadline(time.Time{}); !errors.Is(err, net.ErrClosed) {
+		t.Errorf("the connection is still open: %v", err)
 	}
 }
 
-// A backend with too many connections may end a new one at once: the attempt on
-// it never ran, and must end all the same.
-func TestAttemptOnAConnectionThatEndsAtOnceNeverRan(t *testing.T) {
-	b := newBench(t)
-	b.far.Close()
-	for b.quiet() { // until its end has come
+// A backend with too many connections may close a new one at once. The attempt on it has
+// not run, and must end.
+func TestAttemptOnImmediatelyClosedConnectionCountsAsUnsent(t *testing.T) {
+	f := newConnFixture(t)
+	f.peer.Close()
+	for f.nothingToRead() { // until the end has arrived
 		time.Sleep(time.Millisecond)
 	}
-	go b.attempt(t).carry(b.conn)
-	b.want(t, choice.ConnectFailed)
+	go f.newAttempt(t).runOnConn(f.conn)
+	f.wantStatus(t, choice.ConnectFailed)
 }
 
-// While kept connections are reset at their next request, a payment on one
-// would be lost: it goes on a new one.
-func TestPaymentAvoidsKeptConnectionsWhileTheyAreReset(t *testing.T) {
+// While reused connections are being reset, a payment on one of them could be lost. It
+// uses a new connection.
+func TestNonRepeatableRequestAvoidsReuseAfterResets(t *testing.T) {
 	b := newBackend(t)
 	r := newRig(t, func(cfg *Config) { cfg.Choice.Probing = false }, b.member("b"))
 	c := r.dial()
@@ -528,36 +533,36 @@
 	first := wait(t, "the request", b.got)
 	first.answer("v")
 	c.want("$1\r\nv")
-	r.rest(1)
+	r.ageIdleConns(1)
 	c.send("Q.ASK", anyone, newID(), lookup)
-	wait(t, "a request on the kept connection", b.got).reset()
-	again := wait(t, "its further attempt", b.got)
+	wait(t, "a request on the idle connection", b.got).reset()
+	again := wait(t, "its second attempt", b.got)
 	again.answer("v")
 	c.want("$1\r\nv")
-	r.rest(1)
+	r.ageIdleConns(1)
 	c.send("Q.DO", anyone, newID(), payment, "BODY")
 	got := wait(t, "a payment", b.got)
 	if got.nc == again.nc {
-		t.Error("the payment is on a kept connection")
+		t.Error("the payment is sent on a reused connection")
 	}
 	got.answer("w")
 	c.want("$1\r\nw")
 	c.send("Q.ASK", anyone, newID(), lookup)
 	if last := wait(t, "a lookup", b.got); last.nc != again.nc {
-		t.Error("the lookup does not try the kept connection")
+		t.Error("the lookup does not reuse the idle connection")
 	} else {
 		last.answer("x")
 	}
 	c.want("$1\r\nx")
 }
 
-// An answer read late, in two parts, is whole all the same.
-func TestSlowAnswerIsTakenWhole(t *testing.T) {
-	b := newBench(t)
-	a := b.attempt(t)
-	b.send(a)
-	go b.read()
-	fmt.Fprint(b.far, "*3\r\n$1\r\n")
-	fmt.Fprint(b.far, "v\r\n$-1\r\n$-1\r\n")
-	b.want(t, choice.OK)
+// An answer that arrives in two parts is complete.
+func TestAnswerInTwoParts(t *testing.T) {
+	f := newConnFixture(t)
+	a := f.newAttempt(t)
+	f.send(a)
+	go f.readAnswers()
+	fmt.Fprint(f.peer, "*3\r\n$1\r\n")
+	fmt.Fprint(f.peer, "v\r\n$-1\r\n$-1\r\n")
+	f.wantStatus(t, choice.OK)
 }
