--- a/cmd/drill/main.go
+++ b/cmd/drill/main.go
@@ -24,21 +24,23 @@
 // An instance is one gateway and the Actions that write into the reply.
 type instance struct {
 	*choice.Gateway
-	num   uint32
-	ask   bool
-	reply *wire.Reply
+	number        uint32
+	mustSubscribe bool
+	reply         *wire.Reply
 }
 
-func (n *instance) Send(id, backend uint32, timeout time.Duration) {
-	n.reply.Send(n.num, id, backend, timeout)
+func (inst *instance) Send(id, backend uint32, timeout time.Duration) {
+	inst.reply.Send(inst.number, id, backend, timeout)
 }
-func (n *instance) Refuse(id uint32, after time.Duration, _ choice.Reason) {
-	n.reply.Refuse(n.num, id, after)
+func (inst *instance) Refuse(id uint32, retryAfter time.Duration, _ choice.Reason) {
+	inst.reply.Refuse(inst.number, id, retryAfter)
+}
+func (inst *instance) Fail(id uint32, _ choice.Reason) { inst.reply.Fail(inst.number, id) }
+func (inst *instance) Cancel(id uint32, attempt int)   { inst.reply.Cancel(inst.number, id, attempt) }
+func (inst *instance) Probe(backend uint32)            { inst.reply.Probe(inst.number, backend) }
+func (inst *instance) SetTimer(delay time.Duration, token uint64) {
+	inst.reply.SetTimer(inst.number, delay, token)
 }
-func (n *instance) Fail(id uint32, _ choice.Reason)           { n.reply.Fail(n.num, id) }
-func (n *instance) Cancel(id uint32, attempt int)             { n.reply.Cancel(n.num, id, attempt) }
-func (n *instance) Probe(backend uint32)                      { n.reply.Probe(n.num, backend) }
-func (n *instance) SetTimer(wait time.Duration, token uint64) { n.reply.After(n.num, wait, token) }
 
 // run serves batches until the end of input.
 func run(in io.Reader, out io.Writer) error {
@@ -48,94 +50,94 @@
 		event     wire.Event
 		lists     [16][]choice.Backend
 		instances = map[uint32]*instance{}
-		r         = bufio.NewReaderSize(in, 1<<16)
-		w         = bufio.NewWriterSize(out, 1<<16)
+		reader    = bufio.NewReaderSize(in, 1<<16)
+		writer    = bufio.NewWriterSize(out, 1<<16)
 	)
 	for {
-		if err := batch.ReadBatch(r); err == io.EOF {
+		if err := batch.ReadBatch(reader); err == io.EOF {
 			return nil
 		} else if err != nil {
 			return err
 		}
 		reply.Reset()
 		for i := range batch.Count {
-			if err := batch.At(i, &event); err != nil {
+			if err := batch.DecodeEvent(i, &event); err != nil {
 				return err
 			}
 			switch event.Code {
-			case wire.CodeList:
-				lists[event.List] = append(lists[event.List][:0], event.Backends...)
+			case wire.EventList:
+				lists[event.ListIndex] = append(lists[event.ListIndex][:0], event.Backends...)
 				continue
-			case wire.CodeInit:
-				n, err := start(&batch, &event, &reply)
+			case wire.EventInit:
+				started, err := startInstance(&batch, &event, &reply)
 				if err != nil {
-					return fmt.Errorf("batch %d, record %d: instance %d: %w", batch.Seq, i, event.Inst, err)
+					return fmt.Errorf("batch %d, record %d: instance %d: %w", batch.Seq, i, event.Instance, err)
 				}
-				instances[event.Inst] = n
+				instances[event.Instance] = started
 				continue
 			}
-			n, ok := instances[event.Inst]
+			target, ok := instances[event.Instance]
 			if !ok {
-				return fmt.Errorf("batch %d, record %d: instance %d is unknown", batch.Seq, i, event.Inst)
+				return fmt.Errorf("batch %d, record %d: instance %d is unknown", batch.Seq, i, event.Instance)
 			}
-			if event.Code == wire.CodeStop {
-				delete(instances, event.Inst)
+			if event.Code == wire.EventStop {
+				delete(instances, event.Instance)
 				continue
 			}
-			if event.Code == wire.CodeMembers && event.Kind != choice.Failed && event.List > 15 {
-				return fmt.Errorf("batch %d, record %d: list number %d is above 15", batch.Seq, i, event.List)
+			if event.Code == wire.EventMembers && event.ListKind != choice.Failed && event.ListIndex > 15 {
+				return fmt.Errorf("batch %d, record %d: list number %d is above 15", batch.Seq, i, event.ListIndex)
 			}
-			deliver(n, batch.Now, &event, &lists)
+			dispatch(target, batch.Now, &event, &lists)
 		}
-		if err := reply.Write(w, batch.Seq); err != nil {
+		if err := reply.Write(writer, batch.Seq); err != nil {
 			return err
 		}
-		if err := w.Flush(); err != nil {
+		if err := writer.Flush(); err != nil {
 			return fmt.Errorf("reply to batch %d: %w", batch.Seq, err)
 		}
 	}
 }
 
-func start(b *wire.Batch, e *wire.Event, reply *wire.Reply) (*instance, error) {
-	cfg, ask, err := wire.ParseConfig(e.Config)
+func startInstance(batch *wire.Batch, event *wire.Event, reply *wire.Reply) (*instance, error) {
+	cfg, mustSubscribe, err := wire.ParseConfig(event.Config)
 	if err != nil {
 		return nil, err
 	}
-	n := &instance{num: e.Inst, ask: ask, reply: reply}
-	if n.Gateway, err = choice.New(cfg, e.Seed, b.Now, n); err != nil {
+	started := &instance{number: event.Instance, mustSubscribe: mustSubscribe, reply: reply}
+	if started.Gateway, err = choice.New(cfg, event.Seed, batch.Now, started); err != nil {
 		return nil, err
 	}
-	if ask {
-		reply.Subscribe(n.num)
+	if mustSubscribe {
+		reply.Subscribe(started.number)
 	}
-	return n, nil
+	return started, nil
 }
 
-// deliver hands one event to its instance; a panic there becomes its fault.
-func deliver(n *instance, now time.Duration, e *wire.Event, lists *[16][]choice.Backend) {
+// dispatch hands one event to its instance; a panic there becomes its fault.
+func dispatch(target *instance, now time.Duration, event *wire.Event, lists *[16][]choice.Backend) {
 	defer func() {
-		if p := recover(); p != nil {
-			n.reply.Fault(n.num, fmt.Sprint(p))
+		if cause := recover(); cause != nil {
+			target.reply.Fault(target.number, fmt.Sprint(cause))
 		}
 	}()
-	switch e.Code {
-	case wire.CodeMembers:
+	switch event.Code {
+	case wire.EventMembers:
 		var list []choice.Backend
-		if e.Kind != choice.Failed {
-			list = lists[e.List]
-		} else if n.ask {
-			n.reply.Subscribe(n.num)
+		if event.ListKind != choice.Failed {
+			list = lists[event.ListIndex]
+		} else if target.mustSubscribe {
+			target.reply.Subscribe(target.number)
 		}
-		n.UpdateBackends(now, e.Kind, list)
-	case wire.CodeRequest:
-		n.Request(now, e.Request)
-	case wire.CodeOutcome:
-		n.Outcome(now, e.Outcome)
-	case wire.CodeProbed:
-		n.ProbeResult(now, e.Probe)
-	case wire.CodeGone:
-		n.ClientDisconnected(now, e.ID)
-	case wire.CodeTimer:
-		n.TimerExpired(now, e.Token)
+		target.UpdateBackends(now, event.ListKind, list)
+	case wire.EventRequest:
+		target.Request(now, event.Request)
+	case wire.EventOutcome:
+		target.Outcome(now, event.Outcome)
+	case wire.EventProbed:
+		target.ProbeResult(now, event.Probe)
+	case wire.EventGone:
+		target.ClientDisconnected(now, event.ID)
+	case wire.EventTimer:
+		target.TimerExpired(now, event.Token)
 	}
 }
--- a/internal/wire/settings_test.go
+++ b/internal/wire/settings_test.go
@@ -7,7 +7,7 @@
 
 // What connections cost and how long they are kept comes with the settings;
 // where nothing is said of it, picks must not weigh it.
-func TestSettingsTellWhatConnectionsCost(t *testing.T) {
+func TestParseConfigConnectionCosts(t *testing.T) {
 	cfg, _, err := ParseConfig([]byte(`{"bounds":{"conn_idle_ms":30000,"connect_timeout_ms":250},"prices":{"handshake":0.08,"cross_zone":0.02}}`))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -14,35 +14,35 @@
 
 // Codes of the event records.
 const (
-	CodeInit      = 256
-	CodeMembers   = 257
-	CodeRequest   = 258
-	CodeFirst     = 259
-	CodeOutcome   = 260
-	CodeGone      = 261
-	CodeTimer     = 262
-	CodeProbed    = 263
-	CodePeer      = 264
-	CodeStop      = 265
-	CodeCounted   = 266
-	CodeList      = 267
-	maxFrame      = 1 << 30
-	batchHeader   = 16
-	replyHeader   = 8
-	eventSize     = 48
-	actionSize    = 32
-	entrySize     = 22
-	codeSend      = 256
-	codeRefuse    = 257
-	codeFail      = 258
-	codeCancel    = 259
-	codeSetTimer  = 260
-	codeProbe     = 261
-	codeFault     = 265
-	codeSubscribe = 266
+	EventInit        = 256
+	EventMembers     = 257
+	EventRequest     = 258
+	EventFirst       = 259
+	EventOutcome     = 260
+	EventGone        = 261
+	EventTimer       = 262
+	EventProbed      = 263
+	EventPeer        = 264
+	EventStop        = 265
+	EventCounted     = 266
+	EventList        = 267
+	maxFrameSize     = 1 << 30
+	batchHeaderSize  = 16
+	replyHeaderSize  = 8
+	eventSize        = 48
+	actionSize       = 32
+	backendEntrySize = 22
+	actionSend       = 256
+	actionRefuse     = 257
+	actionFail       = 258
+	actionCancel     = 259
+	actionSetTimer   = 260
+	actionProbe      = 261
+	actionFault      = 265
+	actionSubscribe  = 266
 )
 
-var le = binary.LittleEndian
+var littleEndian = binary.LittleEndian
 
 // A Batch is one frame of events, decoded record by record with At. It is
 // valid until the next ReadBatch into it.
@@ -63,12 +63,12 @@
 		}
 		return fmt.Errorf("batch after %d: frame length cut short after %d bytes", b.Seq, n)
 	}
-	size := le.Uint32(head[:])
-	if size < batchHeader {
+	size := littleEndian.Uint32(head[:])
+	if size < batchHeaderSize {
 		return fmt.Errorf("batch after %d: frame of %d bytes is shorter than its header", b.Seq, size)
 	}
-	if size > maxFrame {
-		return fmt.Errorf("batch after %d: frame of %d bytes is longer than %d", b.Seq, size, maxFrame)
+	if size > maxFrameSize {
+		return fmt.Errorf("batch after %d: frame of %d bytes is longer than %d", b.Seq, size, maxFrameSize)
 	}
 	if cap(b.buf) < int(size) {
 		b.buf = make([]byte, size+size/2)
@@ -77,142 +77,142 @@
 	if n, err := io.ReadFull(r, b.buf); err != nil {
 		return fmt.Errorf("batch after %d: frame cut short, %d of %d bytes", b.Seq, n, size)
 	}
-	now := getFloat(b.buf, 0)
-	count := le.Uint32(b.buf[8:])
-	b.Seq = le.Uint32(b.buf[12:])
+	now := getFloat64(b.buf, 0)
+	count := littleEndian.Uint32(b.buf[8:])
+	b.Seq = littleEndian.Uint32(b.buf[12:])
 	if !(math.Abs(now) < 1e12) {
 		return fmt.Errorf("batch %d: clock of %v ms is no time", b.Seq, now)
 	}
-	b.Now = millis(now)
-	if uint64(count)*eventSize > uint64(size-batchHeader) {
+	b.Now = fromMillis(now)
+	if uint64(count)*eventSize > uint64(size-batchHeaderSize) {
 		return fmt.Errorf("batch %d: %d records do not fit a frame of %d bytes", b.Seq, count, size)
 	}
 	b.Count = int(count)
-	b.tail = b.buf[batchHeader+b.Count*eventSize:]
+	b.tail = b.buf[batchHeaderSize+b.Count*eventSize:]
 	return nil
 }
 
 // An Event is one decoded record; which fields hold depends on Code.
 type Event struct {
-	Code     int
-	Inst     uint32
-	Seed     uint64
-	Config   []byte
-	Kind     choice.ListKind
-	List     int
-	Backends []choice.Backend
-	Request  choice.Request
-	Outcome  choice.Outcome
-	Probe    choice.ProbeResult
-	ID       uint32
-	Token    uint64
+	Code      int
+	Instance  uint32
+	Seed      uint64
+	Config    []byte
+	ListKind  choice.ListKind
+	ListIndex int
+	Backends  []choice.Backend
+	Request   choice.Request
+	Outcome   choice.Outcome
+	Probe     choice.ProbeResult
+	ID        uint32
+	Token     uint64
 }
 
-// At decodes record i into e, whose Backends slice is reused.
-func (b *Batch) At(i int, e *Event) error {
-	r := b.buf[batchHeader+i*eventSize:][:eventSize]
-	e.Code = int(le.Uint16(r))
-	e.Inst = le.Uint32(r[2:])
+// DecodeEvent decodes record i into e, whose Backends slice is reused.
+func (b *Batch) DecodeEvent(i int, e *Event) error {
+	record := b.buf[batchHeaderSize+i*eventSize:][:eventSize]
+	e.Code = int(littleEndian.Uint16(record))
+	e.Instance = littleEndian.Uint32(record[2:])
 	fail := func(format string, args ...any) error {
 		return fmt.Errorf("batch %d, record %d: %s", b.Seq, i, fmt.Sprintf(format, args...))
 	}
 	switch e.Code {
-	case CodeInit:
-		e.Seed = le.Uint64(r[6:])
-		data, ok := b.ref(r[14:], 1)
+	case EventInit:
+		e.Seed = littleEndian.Uint64(record[6:])
+		data, ok := b.tailRange(record[14:], 1)
 		if !ok {
 			return fail("settings lie outside the tail")
 		}
 		e.Config = data
-	case CodeList:
-		e.List = int(r[2])
-		data, ok := b.ref(r[3:], entrySize)
+	case EventList:
+		e.ListIndex = int(record[2])
+		data, ok := b.tailRange(record[3:], backendEntrySize)
 		if !ok {
 			return fail("list of backends lies outside the tail")
 		}
-		if e.List > 15 {
-			return fail("list number %d is above 15", e.List)
+		if e.ListIndex > 15 {
+			return fail("list number %d is above 15", e.ListIndex)
 		}
 		e.Backends = e.Backends[:0]
-		for ; len(data) > 0; data = data[entrySize:] {
-			m, err := entry(data)
+		for ; len(data) > 0; data = data[backendEntrySize:] {
+			m, err := decodeBackend(data)
 			if err != nil {
 				return fail("%v", err)
 			}
 			e.Backends = append(e.Backends, m)
 		}
-	case CodeMembers:
-		if r[6] > 3 {
-			return fail("kind of list %d is unknown", r[6])
+	case EventMembers:
+		if record[6] > 3 {
+			return fail("kind of list %d is unknown", record[6])
 		}
-		e.Kind, e.List = choice.ListKind(r[6]), int(r[11])
-	case CodeRequest:
+		e.ListKind, e.ListIndex = choice.ListKind(record[6]), int(record[11])
+	case EventRequest:
 		e.Request = choice.Request{
-			ID: le.Uint32(r[6:]), Class: int(r[10]), Plan: int(le.Uint32(r[11:])), Customer: le.Uint64(r[15:]),
-			TimeLeft: millis(getFloat(r, 23)), Units: getFloat32(r, 31),
-			SetSize: int(getFloat32(r, 35)), SetStart: int(getFloat32(r, 39)), ClientRetry: r[43]&2 != 0,
+			ID: littleEndian.Uint32(record[6:]), Class: int(record[10]), Plan: int(littleEndian.Uint32(record[11:])), Customer: littleEndian.Uint64(record[15:]),
+			TimeLeft: fromMillis(getFloat64(record, 23)), Units: getFloat32(record, 31),
+			SetSize: int(getFloat32(record, 35)), SetStart: int(getFloat32(record, 39)), ClientRetry: record[43]&2 != 0,
 		}
-	case CodeOutcome:
-		st, ok := status(le.Uint16(r[15:]))
+	case EventOutcome:
+		outcomeStatus, ok := decodeStatus(littleEndian.Uint16(record[15:]))
 		if !ok {
-			return fail("outcome %d is unknown", le.Uint16(r[15:]))
+			return fail("outcome %d is unknown", littleEndian.Uint16(record[15:]))
 		}
-		used := le.Uint16(r[26:])
+		usedCode := littleEndian.Uint16(record[26:])
 		e.Outcome = choice.Outcome{
-			ID: le.Uint32(r[6:]), Attempt: int(r[10]), Backend: le.Uint32(r[11:]), Status: st,
-			Elapsed: millis(getFloat(r, 17)), Answered: r[25] != 0, Load: load(r[30:]),
+			ID: littleEndian.Uint32(record[6:]), Attempt: int(record[10]), Backend: littleEndian.Uint32(record[11:]), Status: outcomeStatus,
+			Elapsed: fromMillis(getFloat64(record, 17)), Answered: record[25] != 0, Load: decodeLoad(record[30:]),
 		}
-		if used > 0 {
-			e.Outcome.Metered, e.Outcome.Used = true, float64(used-1)/100
+		if usedCode > 0 {
+			e.Outcome.Metered, e.Outcome.Used = true, float64(usedCode-1)/100
 		}
-	case CodeProbed:
-		st, ok := status(le.Uint16(r[14:]))
+	case EventProbed:
+		st, ok := decodeStatus(littleEndian.Uint16(record[14:]))
 		if !ok {
-			return fail("outcome %d is unknown", le.Uint16(r[14:]))
+			return fail("outcome %d is unknown", littleEndian.Uint16(record[14:]))
 		}
-		e.Probe = choice.ProbeResult{Backend: le.Uint32(r[16:]), Status: st, Elapsed: millis(getFloat(r, 6)), Load: load(r[20:])}
-	case CodeGone:
-		e.ID = le.Uint32(r[6:])
-	case CodeTimer:
-		e.Token = le.Uint64(r[6:])
-	case CodeFirst, CodePeer, CodeStop, CodeCounted:
+		e.Probe = choice.ProbeResult{Backend: littleEndian.Uint32(record[16:]), Status: st, Elapsed: fromMillis(getFloat64(record, 6)), Load: decodeLoad(record[20:])}
+	case EventGone:
+		e.ID = littleEndian.Uint32(record[6:])
+	case EventTimer:
+		e.Token = littleEndian.Uint64(record[6:])
+	case EventFirst, EventPeer, EventStop, EventCounted:
 	default:
 		return fail("code %d is unknown", e.Code)
 	}
 	return nil
 }
 
-// ref resolves a reference into the tail: an offset and a count of items.
-func (b *Batch) ref(r []byte, item uint64) ([]byte, bool) {
-	off, n := uint64(le.Uint32(r)), uint64(le.Uint32(r[4:]))*item
-	if off+n > uint64(len(b.tail)) {
+// tailRange resolves a reference into the tail: an offset and a count of items.
+func (b *Batch) tailRange(reference []byte, itemSize uint64) ([]byte, bool) {
+	offset, size := uint64(littleEndian.Uint32(reference)), uint64(littleEndian.Uint32(reference[4:]))*itemSize
+	if offset+size > uint64(len(b.tail)) {
 		return nil, false
 	}
-	return b.tail[off : off+n], true
+	return b.tail[offset : offset+size], true
 }
 
-func entry(d []byte) (choice.Backend, error) {
-	m := choice.Backend{
-		ID: le.Uint32(d), Zone: int(d[4]), Kind: int(le.Uint16(d[5:])), Cell: int(le.Uint16(d[7:])),
-		Weight: getFloat32(d, 10),
+func decodeBackend(data []byte) (choice.Backend, error) {
+	backend := choice.Backend{
+		ID: littleEndian.Uint32(data), Zone: int(data[4]), Kind: int(littleEndian.Uint16(data[5:])), Cell: int(littleEndian.Uint16(data[7:])),
+		Weight: getFloat32(data, 10),
 	}
-	switch d[9] {
+	switch data[9] {
 	case 0:
-		m.State = choice.Ready
+		backend.State = choice.Ready
 	case 1:
-		m.State = choice.Removed
+		backend.State = choice.Removed
 	case 2:
-		m.State = choice.Draining
+		backend.State = choice.Draining
 	default:
-		return m, fmt.Errorf("state %d of backend %d is unknown", d[9], m.ID)
+		return backend, fmt.Errorf("state %d of backend %d is unknown", data[9], backend.ID)
 	}
-	if at := getFloat(d, 14); at != 0 {
-		m.Started, m.StartKnown = millis(at), true
+	if startedMillis := getFloat64(data, 14); startedMillis != 0 {
+		backend.Started, backend.StartKnown = fromMillis(startedMillis), true
 	}
-	return m, nil
+	return backend, nil
 }
 
-func load(r []byte) (l choice.Load) {
+func decodeLoad(r []byte) (l choice.Load) {
 	l.Count = min(int(r[0]), len(l.Values))
 	for i := range l.Count {
 		l.Values[i] = getFloat32(r, 1+4*i)
@@ -220,96 +220,104 @@
 	return l
 }
 
-func status(code uint16) (choice.Status, bool) {
+func decodeStatus(code uint16) (choice.Status, bool) {
 	if code < 10 || code > 80 || code%10 != 0 {
 		return 0, false
 	}
 	return choice.Status(code/10 - 1), true
 }
 
-func millis(ms float64) time.Duration {
+func fromMillis(ms float64) time.Duration {
 	return time.Duration(math.Round(ms * float64(time.Millisecond)))
 }
 
-func getFloat(r []byte, at int) float64 { return math.Float64frombits(le.Uint64(r[at:])) }
+func getFloat64(r []byte, at int) float64 { return math.Float64frombits(littleEndian.Uint64(r[at:])) }
 
-func getFloat32(r []byte, at int) float64 { return float64(math.Float32frombits(le.Uint32(r[at:]))) }
+func getFloat32(r []byte, at int) float64 {
+	return float64(math.Float32frombits(littleEndian.Uint32(r[at:])))
+}
 
 // A Reply collects the actions that answer one batch.
 type Reply struct {
-	count uint32
-	recs  []byte
-	tail  []byte
+	count   uint32
+	records []byte
+	tail    []byte
 }
 
 // Reset empties the reply.
-func (p *Reply) Reset() { p.count, p.recs, p.tail = 0, p.recs[:0], p.tail[:0] }
+func (reply *Reply) Reset() {
+	reply.count, reply.records, reply.tail = 0, reply.records[:0], reply.tail[:0]
+}
 
-func (p *Reply) record(code uint16, inst uint32) []byte {
-	n := len(p.recs)
+func (reply *Reply) appendAction(code uint16, inst uint32) []byte {
+	n := len(reply.records)
 	for range actionSize {
-		p.recs = append(p.recs, 0)
+		reply.records = append(reply.records, 0)
 	}
-	r := p.recs[n:]
-	le.PutUint16(r, code)
-	le.PutUint32(r[2:], inst)
-	p.count++
+	r := reply.records[n:]
+	littleEndian.PutUint16(r, code)
+	littleEndian.PutUint32(r[2:], inst)
+	reply.count++
 	return r
 }
 
 // Send starts an attempt.
-func (p *Reply) Send(inst, id, backend uint32, timeout time.Duration) {
-	r := p.record(codeSend, inst)
-	le.PutUint32(r[6:], id)
-	le.PutUint32(r[10:], backend)
+func (reply *Reply) Send(inst, id, backend uint32, timeout time.Duration) {
+	r := reply.appendAction(actionSend, inst)
+	littleEndian.PutUint32(r[6:], id)
+	littleEndian.PutUint32(r[10:], backend)
 	putMillis(r[14:], timeout)
 }
 
 // Refuse declines a request.
-func (p *Reply) Refuse(inst, id uint32, after time.Duration) {
-	r := p.record(codeRefuse, inst)
-	le.PutUint32(r[6:], id)
-	putMillis(r[10:], after)
+func (reply *Reply) Refuse(inst, id uint32, retryAfter time.Duration) {
+	r := reply.appendAction(actionRefuse, inst)
+	littleEndian.PutUint32(r[6:], id)
+	putMillis(r[10:], retryAfter)
 }
 
 // Fail fails a request.
-func (p *Reply) Fail(inst, id uint32) { le.PutUint32(p.record(codeFail, inst)[6:], id) }
+func (reply *Reply) Fail(inst, id uint32) {
+	littleEndian.PutUint32(reply.appendAction(actionFail, inst)[6:], id)
+}
 
 // Cancel stops the wait for an attempt.
-func (p *Reply) Cancel(inst, id uint32, attempt int) {
-	r := p.record(codeCancel, inst)
-	le.PutUint32(r[6:], id)
+func (reply *Reply) Cancel(inst, id uint32, attempt int) {
+	r := reply.appendAction(actionCancel, inst)
+	littleEndian.PutUint32(r[6:], id)
 	r[10] = uint8(attempt)
 }
 
 // Probe checks a backend.
-func (p *Reply) Probe(inst, backend uint32) { le.PutUint32(p.record(codeProbe, inst)[6:], backend) }
+func (reply *Reply) Probe(inst, backend uint32) {
+	littleEndian.PutUint32(reply.appendAction(actionProbe, inst)[6:], backend)
+}
 
-// After asks for a timer.
-func (p *Reply) After(inst uint32, wait time.Duration, token uint64) {
-	r := p.record(codeSetTimer, inst)
-	putMillis(r[6:], wait)
-	le.PutUint64(r[14:], token)
+// SetTimer asks for a timer.
+func (reply *Reply) SetTimer(inst uint32, delay time.Duration, token uint64) {
+	r := reply.appendAction(actionSetTimer, inst)
+	putMillis(r[6:], delay)
+	littleEndian.PutUint64(r[14:], token)
 }
 
 // Subscribe asks discovery for changes.
-func (p *Reply) Subscribe(inst uint32) { p.record(codeSubscribe, inst)[6] = 1 }
+func (reply *Reply) Subscribe(inst uint32) { reply.appendAction(actionSubscribe, inst)[6] = 1 }
 
 // Fault declares that the decisions of an instance have failed.
-func (p *Reply) Fault(inst uint32, what string) {
-	r := p.record(codeFault, inst)
-	le.PutUint32(r[6:], uint32(len(p.tail)))
-	le.PutUint32(r[10:], uint32(len(what)))
-	p.tail = append(p.tail, what...)
+func (reply *Reply) Fault(inst uint32, message string) {
+	r := reply.appendAction(actionFault, inst)
+	littleEndian.PutUint32(r[6:], uint32(len(reply.tail)))
+	littleEndian.PutUint32(r[10:], uint32(len(message)))
+	reply.tail = append(reply.tail, message...)
 }
 
 // Write writes the reply to batch seq as one frame.
-func (p *Reply) Write(w io.Writer, seq uint32) error {
-	var h [4 + replyHeader]byte
-	le.PutUint32(h[:], uint32(replyHeader+len(p.recs)+len(p.tail)))
-	le.PutUint32(h[4:], p.count)
-	le.PutUint32(h[8:], seq)
-	for _, part := range [][]byte{h[:], p.recs, p.tail} {
+func (reply *Reply) Write(w io.Writer, seq uint32) error {
+	var header [4 + replyHeaderSize]byte
+	littleEndian.PutUint32(header[:], uint32(replyHeaderSize+len(reply.records)+len(reply.tail)))
+	littleEndian.PutUint32(header[4:], reply.count)
+	littleEndian.PutUint32(header[8:], seq)
+	for _, part := range [][]byte{header[:], reply.records, reply.tail} {
 		if _, err := w.Write(part); err != nil {
 			return fmt.Errorf("reply to batch %d: %w", seq, err)
 		}
@@ -318,5 +326,5 @@
 }
 
 func putMillis(r []byte, d time.Duration) {
-	le.PutUint64(r, math.Float64bits(float64(d)/float64(time.Millisecond)))
+	littleEndian.PutUint64(r, math.Float64bits(float64(d)/float64(time.Millisecond)))
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -23,22 +23,22 @@
 	return append(head, h...)
 }
 
-// rec pads the hex of a record to its size.
-func rec(fields string) string {
+// paddedEvent pads the hex of a record to its size.
+func paddedEvent(fields string) string {
 	fields = strings.ReplaceAll(fields, " ", "")
 	return fields + strings.Repeat("0", 2*eventSize-len(fields))
 }
 
-const at1000 = "0000000000408f40" // 1000 ms
+const clock1000 = "0000000000408f40" // 1000 ms
 
-func decode(t *testing.T, data []byte) (b Batch, events []Event) {
+func decodeBatch(t *testing.T, data []byte) (b Batch, events []Event) {
 	t.Helper()
 	if err := b.ReadBatch(bytes.NewReader(data)); err != nil {
 		t.Fatal(err)
 	}
 	for i := range b.Count {
 		var e Event
-		if err := b.At(i, &e); err != nil {
+		if err := b.DecodeEvent(i, &e); err != nil {
 			t.Fatal(err)
 		}
 		events = append(events, e)
@@ -48,49 +48,49 @@
 
 func TestGoldenEvents(t *testing.T) {
 	entry := "05000000 02 0100 0300 02 00000040 0000000000408f40"
-	b, ev := decode(t, frame(at1000, 9, strings.ReplaceAll("7b7d"+entry, " ", ""),
-		rec("0001 04000000 0700000000000000 00000000 02000000"),
-		rec("0b01 02 02000000 01000000"),
-		rec("0101 04000000 01 08000000 02"),
-		rec("0201 04000000 11000000 01 02000000 2a00000000000000 0000000000407f40 00000040 00004040 0000803f 02"),
-		rec("0401 04000000 11000000 01 05000000 1400 0000000000003440 01 6500 0000 02 0000803f 00000040"),
-		rec("0501 04000000 11000000"),
-		rec("0601 04000000 4d00000000000000"),
-		rec("0701 04000000 0000000000003440 3200 05000000 01 0000803f"),
-		rec("0901 04000000"),
-		rec("0301 04000000"), rec("0801 04000000"), rec("0a01 04000000"),
+	batch, events := decodeBatch(t, frame(clock1000, 9, strings.ReplaceAll("7b7d"+entry, " ", ""),
+		paddedEvent("0001 04000000 0700000000000000 00000000 02000000"),
+		paddedEvent("0b01 02 02000000 01000000"),
+		paddedEvent("0101 04000000 01 08000000 02"),
+		paddedEvent("0201 04000000 11000000 01 02000000 2a00000000000000 0000000000407f40 00000040 00004040 0000803f 02"),
+		paddedEvent("0401 04000000 11000000 01 05000000 1400 0000000000003440 01 6500 0000 02 0000803f 00000040"),
+		paddedEvent("0501 04000000 11000000"),
+		paddedEvent("0601 04000000 4d00000000000000"),
+		paddedEvent("0701 04000000 0000000000003440 3200 05000000 01 0000803f"),
+		paddedEvent("0901 04000000"),
+		paddedEvent("0301 04000000"), paddedEvent("0801 04000000"), paddedEvent("0a01 04000000"),
 	))
-	if b.Now != time.Second || b.Seq != 9 {
-		t.Errorf("header read as %v, %d", b.Now, b.Seq)
+	if batch.Now != time.Second || batch.Seq != 9 {
+		t.Errorf("header read as %v, %d", batch.Now, batch.Seq)
 	}
-	if e := ev[0]; e.Code != CodeInit || e.Inst != 4 || e.Seed != 7 || string(e.Config) != "{}" {
+	if e := events[0]; e.Code != EventInit || e.Instance != 4 || e.Seed != 7 || string(e.Config) != "{}" {
 		t.Errorf("init read as %+v", e)
 	}
 	want := choice.Backend{ID: 5, Zone: 2, Kind: 1, Cell: 3, State: choice.Draining, Weight: 2, Started: time.Second, StartKnown: true}
-	if e := ev[1]; e.Code != CodeList || e.List != 2 || len(e.Backends) != 1 || e.Backends[0] != want {
+	if e := events[1]; e.Code != EventList || e.ListIndex != 2 || len(e.Backends) != 1 || e.Backends[0] != want {
 		t.Errorf("list read as %+v", e)
 	}
-	if e := ev[2]; e.Code != CodeMembers || e.Kind != choice.Full || e.List != 2 {
+	if e := events[2]; e.Code != EventMembers || e.ListKind != choice.Full || e.ListIndex != 2 {
 		t.Errorf("members read as %+v", e)
 	}
 	request := choice.Request{ID: 17, Class: 1, Plan: 2, Customer: 42, TimeLeft: 500 * time.Millisecond, Units: 2, SetSize: 3, SetStart: 1, ClientRetry: true}
-	if e := ev[3]; e.Request != request {
+	if e := events[3]; e.Request != request {
 		t.Errorf("request read as %+v", e.Request)
 	}
 	outcome := choice.Outcome{ID: 17, Attempt: 1, Backend: 5, Status: choice.Error, Elapsed: 20 * time.Millisecond, Answered: true,
 		Metered: true, Used: 1, Load: choice.Load{Count: 2, Values: [4]float64{1, 2}}}
-	if e := ev[4]; e.Outcome != outcome {
+	if e := events[4]; e.Outcome != outcome {
 		t.Errorf("outcome read as %+v", e.Outcome)
 	}
-	if ev[5].ID != 17 || ev[6].Token != 77 {
-		t.Errorf("gone and timer read as %+v, %+v", ev[5], ev[6])
+	if events[5].ID != 17 || events[6].Token != 77 {
+		t.Errorf("gone and timer read as %+v, %+v", events[5], events[6])
 	}
 	probe := choice.ProbeResult{Backend: 5, Status: choice.ConnectFailed, Elapsed: 20 * time.Millisecond, Load: choice.Load{Count: 1, Values: [4]float64{1}}}
-	if e := ev[7]; e.Probe != probe {
+	if e := events[7]; e.Probe != probe {
 		t.Errorf("probe read as %+v", e.Probe)
 	}
-	if ev[8].Code != CodeStop {
-		t.Errorf("stop read as %+v", ev[8])
+	if events[8].Code != EventStop {
+		t.Errorf("stop read as %+v", events[8])
 	}
 }
 
@@ -101,7 +101,7 @@
 	p.Fail(1, 2)
 	p.Cancel(1, 2, 3)
 	p.Probe(1, 5)
-	p.After(1, 500*time.Millisecond, 77)
+	p.SetTimer(1, 500*time.Millisecond, 77)
 	p.Subscribe(1)
 	p.Fault(1, "no")
 	var out bytes.Buffer
@@ -126,28 +126,28 @@
 	}
 }
 
-func TestMalformedFramesAreNamed(t *testing.T) {
-	whole := frame(at1000, 3, "", rec("0601 04000000"))
+func TestMalformedFrameErrors(t *testing.T) {
+	complete := frame(clock1000, 3, "", paddedEvent("0601 04000000"))
 	for _, c := range []struct{ name, want, data string }{
-		{"cut length", "cut short", string(whole[:2])},
-		{"cut frame", "cut short", string(whole[:30])},
+		{"cut length", "cut short", string(complete[:2])},
+		{"cut frame", "cut short", string(complete[:30])},
 		{"short frame", "shorter than its header", "\x03\x00\x00\x00abc"},
 		{"long frame", "longer than", "\xff\xff\xff\xff"},
-		{"too many records", "do not fit", string(frame(at1000, 3, "")[:12]) + "\x09\x00\x00\x00\x03\x00\x00\x00"},
+		{"too many records", "do not fit", string(frame(clock1000, 3, "")[:12]) + "\x09\x00\x00\x00\x03\x00\x00\x00"},
 		{"no time", "no time", string(frame("000000000000f87f", 3, ""))},
-		{"unknown code", "code 400", string(frame(at1000, 3, "", rec("9001 04000000")))},
-		{"settings outside", "outside the tail", string(frame(at1000, 3, "", rec("0001 04000000 0000000000000000 00000000 05000000")))},
-		{"list outside", "outside the tail", string(frame(at1000, 3, "", rec("0b01 02 ffffffff ffffffff")))},
-		{"list number", "above 15", string(frame(at1000, 3, "", rec("0b01 20")))},
-		{"list state", "state 9", string(frame(at1000, 3, "05000000020100030009000000400000000000408f40", rec("0b01 02 00000000 01000000")))},
-		{"list kind", "kind of list 4", string(frame(at1000, 3, "", rec("0101 04000000 04")))},
-		{"outcome", "outcome 15", string(frame(at1000, 3, "", rec("0401 04000000 11000000 01 05000000 0f00")))},
-		{"probe outcome", "outcome 0", string(frame(at1000, 3, "", rec("0701 04000000")))},
+		{"unknown code", "code 400", string(frame(clock1000, 3, "", paddedEvent("9001 04000000")))},
+		{"settings outside", "outside the tail", string(frame(clock1000, 3, "", paddedEvent("0001 04000000 0000000000000000 00000000 05000000")))},
+		{"list outside", "outside the tail", string(frame(clock1000, 3, "", paddedEvent("0b01 02 ffffffff ffffffff")))},
+		{"list number", "above 15", string(frame(clock1000, 3, "", paddedEvent("0b01 20")))},
+		{"list state", "state 9", string(frame(clock1000, 3, "05000000020100030009000000400000000000408f40", paddedEvent("0b01 02 00000000 01000000")))},
+		{"list kind", "kind of list 4", string(frame(clock1000, 3, "", paddedEvent("0101 04000000 04")))},
+		{"outcome", "outcome 15", string(frame(clock1000, 3, "", paddedEvent("0401 04000000 11000000 01 05000000 0f00")))},
+		{"probe outcome", "outcome 0", string(frame(clock1000, 3, "", paddedEvent("0701 04000000")))},
 	} {
 		var b Batch
 		err := b.ReadBatch(strings.NewReader(c.data))
 		for i := 0; err == nil && i < b.Count; i++ {
-			err = b.At(i, new(Event))
+			err = b.DecodeEvent(i, new(Event))
 		}
 		if err == nil || !strings.Contains(err.Error(), c.want) || !strings.Contains(err.Error(), "batch") {
 			t.Errorf("%s: error %v, want one that names the batch and says %q", c.name, err, c.want)
@@ -158,7 +158,7 @@
 	}
 }
 
-func TestSettings(t *testing.T) {
+func TestParseConfig(t *testing.T) {
 	cfg, ask, err := ParseConfig([]byte(`{"balancers": 3, "self_index": 2, "zone": 1, "news": {"a": [1]}, "discovery": "ask",
 		"bounds": {"try_limit": 4, "second_copies": true, "max_retry_after_ms": 700},
 		"invariants": {"cold_ms": 9000, "tip_multiple": 2.5, "fall_ms": 1500, "cold_from": 0.3},
@@ -186,9 +186,9 @@
 }
 
 func FuzzDecode(f *testing.F) {
-	f.Add(frame(at1000, 3, "7b7d", rec("0001 04000000 0700000000000000 00000000 02000000")))
-	f.Add(frame(at1000, 3, "05000000020100030002000000400000000000408f40", rec("0b01 02 00000000 01000000")))
-	f.Add(frame(at1000, 3, "", rec("0401 04000000 11000000 01 05000000 1400"), rec("0601 04000000")))
+	f.Add(frame(clock1000, 3, "7b7d", paddedEvent("0001 04000000 0700000000000000 00000000 02000000")))
+	f.Add(frame(clock1000, 3, "05000000020100030002000000400000000000408f40", paddedEvent("0b01 02 00000000 01000000")))
+	f.Add(frame(clock1000, 3, "", paddedEvent("0401 04000000 11000000 01 05000000 1400"), paddedEvent("0601 04000000")))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		var b Batch
 		if b.ReadBatch(bytes.NewReader(data)) != nil {
@@ -196,10 +196,10 @@
 		}
 		var e Event
 		for i := range b.Count {
-			if err := b.At(i, &e); err != nil && !strings.Contains(err.Error(), "batch") {
+			if err := b.DecodeEvent(i, &e); err != nil && !strings.Contains(err.Error(), "batch") {
 				t.Fatalf("error %q does not name the batch", err)
 			}
-			if e.Code == CodeList && len(e.Backends)*entrySize > len(data) {
+			if e.Code == EventList && len(e.Backends)*backendEntrySize > len(data) {
 				t.Fatalf("%d backends out of %d bytes", len(e.Backends), len(data))
 			}
 		}
