--- a/cmd/cedarseam/descriptors_test.go
+++ b/cmd/cedarseam/descriptors_test.go
@@ -13,22 +13,22 @@
 )
 
 const (
-	patience = 10 * time.Second
-	ping     = "*1\r\n$4\r\nPING\r\n"
-	request  = "*4\r\n$5\r\nQ.ASK\r\n$16\r\n00000000b4d65521\r\n$16\r\n%016x\r\n$49\r\nc=lookup,t=basic,d=60000,units=1,spread=1,first=0\r\n"
+	waitTimeout   = 10 * time.Second
+	pingCommand   = "*1\r\n$4\r\nPING\r\n"
+	requestFormat = "*4\r\n$5\r\nQ.ASK\r\n$16\r\n00000000b4d65521\r\n$16\r\n%016x\r\n$49\r\nc=lookup,t=basic,d=60000,units=1,spread=1,first=0\r\n"
 )
 
-// server accepts connections and hands each on, until the test ends.
-func server(t *testing.T) (addr string, accepted chan net.Conn) {
+// startListener accepts connections and hands each on, until the test ends.
+func startListener(t *testing.T) (addr string, connections chan net.Conn) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	accepted = make(chan net.Conn, 1000)
+	connections = make(chan net.Conn, 1000)
 	t.Cleanup(func() {
 		ln.Close()
-		for len(accepted) > 0 {
-			(<-accepted).Close()
+		for len(connections) > 0 {
+			(<-connections).Close()
 		}
 	})
 	go func() {
@@ -37,10 +37,10 @@
 			if err != nil {
 				return
 			}
-			accepted <- nc
+			connections <- nc
 		}
 	}()
-	return ln.Addr().String(), accepted
+	return ln.Addr().String(), connections
 }
 
 func dial(t *testing.T, addr string) (net.Conn, *bufio.Reader) {
@@ -50,28 +50,28 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { nc.Close() })
-	nc.SetDeadline(time.Now().Add(patience))
+	nc.SetDeadline(time.Now().Add(waitTimeout))
 	return nc, bufio.NewReader(nc)
 }
 
 // Clients take all descriptors that they may while discovery is silent, and
 // backends theirs. When discovery is back, the program still reaches it, hears
 // of another backend, reaches that, and serves a client who comes then.
-func TestDescriptorsAreLeftForDiscoveryAndBackends(t *testing.T) {
+func TestDescriptorReserveForDiscoveryAndBackends(t *testing.T) {
 	for _, sockets := range []int{40, 256} {
 		t.Run(fmt.Sprint(sockets), func(t *testing.T) {
-			discovery, calls := server(t)
-			fresh, atFresh := server(t)
-			var known []string
-			atOld := make(chan net.Conn, 1000)
+			discovery, discoveryConns := startListener(t)
+			newBackend, newBackendConns := startListener(t)
+			var knownMembers []string
+			oldBackendConns := make(chan net.Conn, 1000)
 			for i := range 8 {
-				addr, accepted := server(t)
-				known = append(known, fmt.Sprintf(`{"id":"old%d","host_port":%q,"phase":"SERVING","size":1}`, i, addr))
+				addr, connections := startListener(t)
+				knownMembers = append(knownMembers, fmt.Sprintf(`{"id":"old%d","host_port":%q,"phase":"SERVING","size":1}`, i, addr))
 				go func() {
 					for {
 						select {
-						case nc := <-accepted:
-							atOld <- nc
+						case nc := <-connections:
+							oldBackendConns <- nc
 						case <-t.Context().Done():
 							return
 						}
@@ -82,86 +82,86 @@
  "limits":{"cores":1,"memory_mb":192,"sockets":%d},"known":{"revision":1,"complete":true,"members":[%s]},
  "settings":{"balancers":1,"bounds":{"try_limit":4,"conn_idle_ms":600000},"discovery":"push","invariants":{"drain_grace_ms":500},
   "request_classes":[{"name":"lookup","aim_ms":60000,"give_up_ms":60000,"effect":"free","worth":2}],
-  "tiers_of_service":[{"name":"basic","quota_rate":1000,"burst":1000,"price":1}]}}`, discovery, sockets, strings.Join(known, ","))
+  "tiers_of_service":[{"name":"basic","quota_rate":1000,"burst":1000,"price":1}]}}`, discovery, sockets, strings.Join(knownMembers, ","))
 			ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 			defer cancel()
-			p := start(t, configuration, fmt.Sprint(socketLimit, "=", sockets))
+			p := startProgram(t, configuration, fmt.Sprint(socketLimitVariable, "=", sockets))
 
 			// Requests are held by the backends until no more is let out.
-			p.ready()
-			var held []net.Conn
-			for id, more := 1, true; more; id++ {
+			p.waitUntilServing()
+			var pendingConns []net.Conn
+			for id, admitting := 1, true; admitting; id++ {
 				nc, in := dial(t, p.addr)
-				fmt.Fprintf(nc, request, id)
-				refused := make(chan string, 1)
-				go func() { answer, _ := in.ReadString('\n'); refused <- answer }()
+				fmt.Fprintf(nc, requestFormat, id)
+				reply := make(chan string, 1)
+				go func() { answer, _ := in.ReadString('\n'); reply <- answer }()
 				select {
-				case nc := <-atOld:
+				case nc := <-oldBackendConns:
 					t.Cleanup(func() { nc.Close() })
-					held = append(held, nc)
-				case answer := <-refused:
-					if more = false; !strings.HasPrefix(answer, "-BUSY") {
+					pendingConns = append(pendingConns, nc)
+				case answer := <-reply:
+					if admitting = false; !strings.HasPrefix(answer, "-BUSY") {
 						t.Fatalf("request %d is answered %q", id, answer)
 					}
 				case <-ctx.Done():
 					t.Fatalf("request %d gets nowhere", id)
 				}
 			}
-			if len(held) < 5 {
-				t.Fatalf("only %d requests are let out", len(held))
+			if len(pendingConns) < 5 {
+				t.Fatalf("only %d requests are let out", len(pendingConns))
 			}
 			for range 2 * sockets { // the last of them wait in the listener's queue
 				nc, _ := dial(t, p.addr)
-				io.WriteString(nc, ping)
+				io.WriteString(nc, pingCommand)
 			}
 
 			// Discovery is back: what it is asked from now on it answers. What the
 			// backends hold they still hold then.
-			told := make(chan struct{}, 1000)
-			for len(calls) > 0 {
-				(<-calls).Close()
+			listSent := make(chan struct{}, 1000)
+			for len(discoveryConns) > 0 {
+				(<-discoveryConns).Close()
 			}
 			go func() {
 				for {
 					select {
-					case nc := <-calls:
+					case nc := <-discoveryConns:
 						defer nc.Close()
 						if _, err := http.ReadRequest(bufio.NewReader(nc)); err != nil {
 							continue
 						}
-						list := fmt.Sprintf(`{"revision":2,"complete":true,"members":[{"id":"new","host_port":%q,"phase":"SERVING","size":1}]}`+"\n", fresh)
+						list := fmt.Sprintf(`{"revision":2,"complete":true,"members":[{"id":"new","host_port":%q,"phase":"SERVING","size":1}]}`+"\n", newBackend)
 						fmt.Fprintf(nc, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n", len(list), list)
-						told <- struct{}{}
+						listSent <- struct{}{}
 					case <-ctx.Done():
 						return
 					}
 				}
 			}()
 			select {
-			case <-told:
-			case <-time.After(patience):
+			case <-listSent:
+			case <-time.After(waitTimeout):
 				t.Fatal("discovery is not reached")
 			}
-			for _, nc := range held {
+			for _, nc := range pendingConns {
 				io.WriteString(nc, "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n")
 			}
-			for id, end := 1<<20, time.Now().Add(patience); ; id++ {
-				if time.Now().After(end) {
+			for id, deadline := 1<<20, time.Now().Add(waitTimeout); ; id++ {
+				if time.Now().After(deadline) {
 					t.Fatal("no client is served by the backend that discovery has told")
 				}
 				nc, in := dial(t, p.addr)
-				fmt.Fprintf(nc, request, id)
-				answer := make(chan string, 1)
-				go func() { text, _ := in.ReadString('\n'); answer <- text }()
+				fmt.Fprintf(nc, requestFormat, id)
+				reply := make(chan string, 1)
+				go func() { text, _ := in.ReadString('\n'); reply <- text }()
 				select {
-				case nc := <-atFresh:
+				case nc := <-newBackendConns:
 					t.Cleanup(func() { nc.Close() })
 					return // served as before
-				case <-answer: // the list is still the old one
+				case <-reply: // the list is still the old one
 					nc.Close()
-				case nc := <-atOld:
+				case nc := <-oldBackendConns:
 					t.Cleanup(func() { nc.Close() })
-				case <-time.After(patience):
+				case <-time.After(waitTimeout):
 				}
 			}
 		})
--- a/cmd/cedarseam/main.go
+++ b/cmd/cedarseam/main.go
@@ -18,18 +18,18 @@
 )
 
 const (
-	// logVariable names the environment's word on the log: with "detailed" it
+	// logModeVariable names the environment's word on the log: with "detailed" it
 	// tells of every request, attempt and connection from the start on.
-	logVariable = "CEDARSEAM_LOG"
-	logFlush    = 100 * time.Millisecond // for the last lines to be written at the end
+	logModeVariable = "CEDARSEAM_LOG"
+	logFlushTimeout = 100 * time.Millisecond // for the last lines to be written at the end
 )
 
 func main() {
-	lines := eventlog.NewWriter(os.Stderr)
-	log := eventlog.New(lines, os.Getenv(logVariable) == "detailed")
+	logWriter := eventlog.NewWriter(os.Stderr)
+	log := eventlog.New(logWriter, os.Getenv(logModeVariable) == "detailed")
 	slog.SetDefault(log.Logger())
 	err := run(log)
-	lines.Flush(logFlush)
+	logWriter.Flush(logFlushTimeout)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "cedarseam:", err)
 		os.Exit(1)
@@ -38,10 +38,10 @@
 
 func run(log *eventlog.Log) error {
 	// Taken from the first moment on: by default these signals end the process.
-	ctx := untilTerminated()
+	ctx := terminationContext()
 	signal.Ignore(syscall.SIGPIPE) // a log that nobody reads must not end the process either
-	reload := make(chan os.Signal, 1)
-	signal.Notify(reload, syscall.SIGHUP)
+	reloadSignals := make(chan os.Signal, 1)
+	signal.Notify(reloadSignals, syscall.SIGHUP)
 	cfg, err := ingress.LoadConfig(os.Getenv)
 	if err != nil {
 		return err
@@ -51,32 +51,32 @@
 	}
 	cfg.Limits.Apply()
 	cfg.Log = log
-	srv, err := ingress.Listen(cfg)
+	server, err := ingress.Listen(cfg)
 	if err != nil {
 		return err
 	}
-	slog.Info("serving", "name", cfg.Name, "address", srv.Addr().String())
+	slog.Info("serving", "name", cfg.Name, "address", server.Addr().String())
 	go func() {
-		for range reload {
-			if next, err := ingress.ReloadConfig(os.Getenv); err != nil {
+		for range reloadSignals {
+			if reloaded, err := ingress.ReloadConfig(os.Getenv); err != nil {
 				slog.Error("the configuration stays as it was", "error", err)
 			} else {
-				slog.Info("configuration read again", "discovery", next.Discovery)
-				srv.Reload(next)
+				slog.Info("configuration read again", "discovery", reloaded.Discovery)
+				server.Reload(reloaded)
 			}
 		}
 	}()
-	return srv.Serve(ctx)
+	return server.Serve(ctx)
 }
 
-// untilTerminated returns a context that ends with SIGTERM or SIGINT. Its cause
+// terminationContext returns a context that ends with SIGTERM or SIGINT. Its cause
 // tells when the signal came: the time until the kill counts from then.
-func untilTerminated() context.Context {
-	terminate := make(chan os.Signal, 1)
-	signal.Notify(terminate, syscall.SIGTERM, syscall.SIGINT)
+func terminationContext() context.Context {
+	signals := make(chan os.Signal, 1)
+	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
 	ctx, cancel := context.WithCancelCause(context.Background())
 	go func() {
-		<-terminate
+		<-signals
 		cancel(shutdown.RequestedError{At: time.Now()})
 	}()
 	return ctx
--- a/cmd/cedarseam/main_test.go
+++ b/cmd/cedarseam/main_test.go
@@ -13,16 +13,16 @@
 	"time"
 )
 
-// asProgram makes the test's own binary run the program instead, socketLimit
+// runMainVariable makes the test's own binary run the program instead, socketLimitVariable
 // with no more descriptors than that.
 const (
-	asProgram   = "CEDARSEAM_TEST_AS_PROGRAM"
-	socketLimit = "CEDARSEAM_TEST_SOCKETS"
+	runMainVariable     = "CEDARSEAM_TEST_AS_PROGRAM"
+	socketLimitVariable = "CEDARSEAM_TEST_SOCKETS"
 )
 
 func TestMain(m *testing.M) {
-	if os.Getenv(asProgram) != "" {
-		if n, err := strconv.ParseUint(os.Getenv(socketLimit), 10, 64); err == nil {
+	if os.Getenv(runMainVariable) != "" {
+		if n, err := strconv.ParseUint(os.Getenv(socketLimitVariable), 10, 64); err == nil {
 			if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &syscall.Rlimit{Cur: n, Max: n}); err != nil {
 				panic(err)
 			}
@@ -33,26 +33,26 @@
 	os.Exit(m.Run())
 }
 
-const config = `{"name":"n0","listen":"127.0.0.1:0","discovery":%q,"seed":"1","limits":{"cores":1,"memory_mb":192,"sockets":1024},
+const reloadConfig = `{"name":"n0","listen":"127.0.0.1:0","discovery":%q,"seed":"1","limits":{"cores":1,"memory_mb":192,"sockets":1024},
  "settings":{"balancers":1,"bounds":{"try_limit":4},
   "request_classes":[{"name":"lookup","aim_ms":600,"give_up_ms":1000,"effect":"free","worth":2}],
   "tiers_of_service":[{"name":"basic","quota_rate":10,"burst":10,"price":1}]}}`
 
-// agent is a discovery that tells each time its list is asked for.
-func agent(t *testing.T) (addr string, asked chan struct{}) {
-	asked = make(chan struct{}, 100)
-	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+// startDiscovery is a discovery that tells each time its list is asked for.
+func startDiscovery(t *testing.T) (addr string, listRequests chan struct{}) {
+	listRequests = make(chan struct{}, 100)
+	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		fmt.Fprintln(w, `{"revision":1,"complete":true,"members":[]}`)
 		if r.URL.Query().Get("stream") == "" {
-			asked <- struct{}{}
+			listRequests <- struct{}{}
 		}
 	}))
-	t.Cleanup(func() { s.CloseClientConnections(); s.Close() })
-	return s.Listener.Addr().String(), asked
+	t.Cleanup(func() { server.CloseClientConnections(); server.Close() })
+	return server.Listener.Addr().String(), listRequests
 }
 
-// configure replaces the file of the configuration.
-func configure(t *testing.T, path, text string) {
+// writeConfig replaces the file of the configuration.
+func writeConfig(t *testing.T, path, text string) {
 	t.Helper()
 	if err := os.WriteFile(path+".new", []byte(text), 0o600); err != nil {
 		t.Fatal(err)
@@ -63,39 +63,39 @@
 }
 
 // SIGHUP must move discovery and, by itself, would end the program.
-func TestProgramRereadsItsConfigurationAndEndsWithSigterm(t *testing.T) {
-	first, atFirst := agent(t)
-	second, atSecond := agent(t)
-	p := start(t, fmt.Sprintf(config, first))
-	wait := func(what string, asked chan struct{}) {
+func TestReloadAndTermination(t *testing.T) {
+	first, firstRequests := startDiscovery(t)
+	second, secondRequests := startDiscovery(t)
+	p := startProgram(t, fmt.Sprintf(reloadConfig, first))
+	waitForListRequest := func(what string, listRequests chan struct{}) {
 		t.Helper()
 		select {
-		case <-asked:
-		case <-time.After(patience):
+		case <-listRequests:
+		case <-time.After(waitTimeout):
 			t.Fatalf("waited in vain for %s", what)
 		}
 	}
-	wait("the start", atFirst)
-	configure(t, p.path, "{")
-	p.signal(syscall.SIGHUP)
-	p.logged("the configuration stays as it was")
+	waitForListRequest("the start", firstRequests)
+	writeConfig(t, p.configPath, "{")
+	p.sendSignal(syscall.SIGHUP)
+	p.waitForLogLine("the configuration stays as it was")
 	for range 3 {
-		configure(t, p.path, fmt.Sprintf(config, second))
-		p.signal(syscall.SIGHUP)
-		wait("the move", atSecond)
-		p.logged("state=following", second) // until then the address before is in force, and a way back to it changes nothing
-		configure(t, p.path, fmt.Sprintf(config, first))
-		p.signal(syscall.SIGHUP)
-		wait("the move back", atFirst)
-		p.logged("state=following", first)
+		writeConfig(t, p.configPath, fmt.Sprintf(reloadConfig, second))
+		p.sendSignal(syscall.SIGHUP)
+		waitForListRequest("the move", secondRequests)
+		p.waitForLogLine("state=following", second) // until then the address before is in force, and a way back to it changes nothing
+		writeConfig(t, p.configPath, fmt.Sprintf(reloadConfig, first))
+		p.sendSignal(syscall.SIGHUP)
+		waitForListRequest("the move back", firstRequests)
+		p.waitForLogLine("state=following", first)
 	}
-	p.signal(syscall.SIGTERM)
-	p.wantEnd()
+	p.sendSignal(syscall.SIGTERM)
+	p.expectCleanExit()
 }
 
-func TestProgramFailsWithoutConfiguration(t *testing.T) {
+func TestMissingConfigurationFails(t *testing.T) {
 	cmd := exec.CommandContext(t.Context(), os.Args[0])
-	cmd.Env = append(os.Environ(), asProgram+"=1", "NODE_CONFIG=")
+	cmd.Env = append(os.Environ(), runMainVariable+"=1", "NODE_CONFIG=")
 	var exit *exec.ExitError
 	if err := cmd.Run(); !errors.As(err, &exit) || exit.ExitCode() != 1 {
 		t.Errorf("ended with %v, want exit code 1", err)
--- a/cmd/cedarseam/process_test.go
+++ b/cmd/cedarseam/process_test.go
@@ -18,64 +18,64 @@
 // program is the ingress as a process of its own.
 type program struct {
 	*testing.T
-	command *exec.Cmd
-	path    string // of its configuration
-	log     io.Closer
-	addr    string // where it serves clients
-	ended   chan struct{}
-	err     error // valid once ended is closed
+	command    *exec.Cmd
+	configPath string // of its configuration
+	stderr     io.Closer
+	addr       string // where it serves clients
+	exited     chan struct{}
+	err        error // valid once ended is closed
 
-	mu    sync.Mutex
-	lines []string
-	seen  int           // lines that logged has looked at
-	more  chan struct{} // closed with the next line
+	mu        sync.Mutex
+	logLines  []string
+	scanned   int           // lines that logged has looked at
+	lineAdded chan struct{} // closed with the next line
 }
 
-// start runs the program with a configuration, and variables of the environment
+// startProgram runs the program with a configuration, and variables of the environment
 // besides, until the end of the test, and waits until it listens.
-func start(t *testing.T, configuration string, environment ...string) *program {
+func startProgram(t *testing.T, configuration string, variables ...string) *program {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
-	configure(t, path, configuration)
-	p := launch(t, path, environment...)
-	_, p.addr, _ = strings.Cut(p.logged("address="), "address=")
+	writeConfig(t, path, configuration)
+	p := launchProgram(t, path, variables...)
+	_, p.addr, _ = strings.Cut(p.waitForLogLine("address="), "address=")
 	return p
 }
 
-// launch runs the program with the configuration in a file, and variables of the
+// launchProgram runs the program with the configuration in a file, and variables of the
 // environment besides, until the end of the test.
-func launch(t *testing.T, path string, environment ...string) *program {
+func launchProgram(t *testing.T, configPath string, variables ...string) *program {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
-	p := &program{T: t, command: exec.CommandContext(ctx, os.Args[0]), path: path, ended: make(chan struct{}), more: make(chan struct{})}
+	p := &program{T: t, command: exec.CommandContext(ctx, os.Args[0]), configPath: configPath, exited: make(chan struct{}), lineAdded: make(chan struct{})}
 	// The race detector would hold the end of the process up for a second.
-	p.command.Env = append(os.Environ(), asProgram+"=1", "NODE_CONFIG="+path, "GORACE=atexit_sleep_ms=0")
-	p.command.Env = append(p.command.Env, environment...)
-	log, err := p.command.StderrPipe()
+	p.command.Env = append(os.Environ(), runMainVariable+"=1", "NODE_CONFIG="+configPath, "GORACE=atexit_sleep_ms=0")
+	p.command.Env = append(p.command.Env, variables...)
+	stderr, err := p.command.StderrPipe()
 	if err != nil {
 		t.Fatal(err)
 	}
-	p.log = log
+	p.stderr = stderr
 	if err := p.command.Start(); err != nil {
 		t.Fatal(err)
 	}
-	go p.follow(log)
+	go p.readLog(stderr)
 	t.Cleanup(func() {
 		cancel()
-		<-p.ended
+		<-p.exited
 		if t.Failed() {
-			t.Log(strings.Join(p.lines, "\n"))
+			t.Log(strings.Join(p.logLines, "\n"))
 		}
 	})
 	return p
 }
 
-// wantEnd waits until the program has ended, and wants that to go well.
-func (p *program) wantEnd() {
+// expectCleanExit waits until the program has ended, and wants that to go well.
+func (p *program) expectCleanExit() {
 	p.Helper()
 	select {
-	case <-p.ended:
-	case <-time.After(patience):
+	case <-p.exited:
+	case <-time.After(waitTimeout):
 		p.Fatal("it does not end")
 	}
 	if p.err != nil {
@@ -83,66 +83,66 @@
 	}
 }
 
-// follow gathers the log until the program has ended.
-func (p *program) follow(log io.Reader) {
-	for lines := bufio.NewScanner(log); lines.Scan(); {
+// readLog gathers the log until the program has ended.
+func (p *program) readLog(stderr io.Reader) {
+	for scanner := bufio.NewScanner(stderr); scanner.Scan(); {
 		p.mu.Lock()
-		p.lines = append(p.lines, lines.Text())
-		close(p.more)
-		p.more = make(chan struct{})
+		p.logLines = append(p.logLines, scanner.Text())
+		close(p.lineAdded)
+		p.lineAdded = make(chan struct{})
 		p.mu.Unlock()
 	}
 	p.err = p.command.Wait()
-	close(p.ended)
+	close(p.exited)
 }
 
-// logged waits until the log has a further line with all these words, and returns
+// waitForLogLine waits until the log has a further line with all these words, and returns
 // it. A line before it counts no more.
-func (p *program) logged(words ...string) string {
+func (p *program) waitForLogLine(substrings ...string) string {
 	p.Helper()
-	limit := time.After(patience)
+	timeout := time.After(waitTimeout)
 	for {
 		p.mu.Lock()
-		lines, more := p.lines, p.more
+		lines, lineAdded := p.logLines, p.lineAdded
 		p.mu.Unlock()
-		for p.seen < len(lines) {
-			line := lines[p.seen]
-			if p.seen++; hasAll(line, words) {
+		for p.scanned < len(lines) {
+			line := lines[p.scanned]
+			if p.scanned++; containsAll(line, substrings) {
 				return strings.TrimSpace(line)
 			}
 		}
 		select {
-		case <-more:
-		case <-limit:
-			p.Fatalf("the log never says %q", words)
+		case <-lineAdded:
+		case <-timeout:
+			p.Fatalf("the log never says %q", substrings)
 		}
 	}
 }
 
-func hasAll(line string, words []string) bool {
-	for _, word := range words {
-		if !strings.Contains(line, word) {
+func containsAll(line string, substrings []string) bool {
+	for _, substring := range substrings {
+		if !strings.Contains(line, substring) {
 			return false
 		}
 	}
 	return true
 }
 
-func (p *program) signal(s os.Signal) {
+func (p *program) sendSignal(sig os.Signal) {
 	p.Helper()
-	if err := p.command.Process.Signal(s); err != nil {
+	if err := p.command.Process.Signal(sig); err != nil {
 		p.Fatal(err)
 	}
 }
 
-// ready waits until the program lets clients in.
-func (p *program) ready() {
+// waitUntilServing waits until the program lets clients in.
+func (p *program) waitUntilServing() {
 	p.Helper()
 	nc, in := dial(p.T, p.addr)
 	defer nc.Close()
 	for answer := ""; answer != "+PONG\r\n"; {
 		var err error
-		io.WriteString(nc, ping)
+		io.WriteString(nc, pingCommand)
 		if answer, err = in.ReadString('\n'); err != nil {
 			p.Fatal(err)
 		}
@@ -151,14 +151,14 @@
 
 // hangingBackend takes requests and never answers one.
 func hangingBackend(t *testing.T) (addr string, requests chan string) {
-	addr, accepted := server(t)
+	addr, connections := startListener(t)
 	requests = make(chan string, 1000)
 	go func() {
 		for {
 			select {
-			case nc := <-accepted:
+			case nc := <-connections:
 				t.Cleanup(func() { nc.Close() })
-				go passOn(nc, requests)
+				go forwardReads(nc, requests)
 			case <-t.Context().Done():
 				return
 			}
@@ -167,8 +167,8 @@
 	return addr, requests
 }
 
-// passOn hands on what comes on a connection, until it ends.
-func passOn(nc net.Conn, requests chan<- string) {
+// forwardReads hands on what comes on a connection, until it ends.
+func forwardReads(nc net.Conn, requests chan<- string) {
 	buf := make([]byte, 64<<10)
 	for {
 		n, err := nc.Read(buf)
@@ -179,12 +179,12 @@
 	}
 }
 
-// encode is a command of a client.
-func encode(words ...string) string {
+// encodeCommand is a command of a client.
+func encodeCommand(args ...string) string {
 	var text strings.Builder
-	fmt.Fprintf(&text, "*%d\r\n", len(words))
-	for _, word := range words {
-		fmt.Fprintf(&text, "$%d\r\n%s\r\n", len(word), word)
+	fmt.Fprintf(&text, "*%d\r\n", len(args))
+	for _, arg := range args {
+		fmt.Fprintf(&text, "$%d\r\n%s\r\n", len(arg), arg)
 	}
 	return text.String()
 }
--- a/cmd/cedarseam/shutdown_test.go
+++ b/cmd/cedarseam/shutdown_test.go
@@ -19,17 +19,17 @@
 )
 
 const (
-	// killAfter is how long after the longest deadline SIGKILL may follow SIGTERM.
-	killAfter = 700 * time.Millisecond
-	// lateAfter is when a request comes that counts as taken late: beyond the time
+	// killGrace is how long after the longest deadline SIGKILL may follow SIGTERM.
+	killGrace = 700 * time.Millisecond
+	// lateRequestDelay is when a request comes that counts as taken late: beyond the time
 	// for which the kill allows, and with a client that waits beyond the kill.
-	lateAfter       = 1000 * time.Millisecond
-	longestDeadline = 2 * time.Second
+	lateRequestDelay = 1000 * time.Millisecond
+	longestDeadline  = 2 * time.Second
 
-	// signalDelivery is how late the program may notice the signal.
-	signalDelivery = 50 * time.Millisecond
+	// signalDelay is how late the program may notice the signal.
+	signalDelay = 50 * time.Millisecond
 
-	shutdownConfig = `{"name":"n0","listen":"127.0.0.1:0","discovery":%[1]q,"seed":"1",
+	shutdownConfigFormat = `{"name":"n0","listen":"127.0.0.1:0","discovery":%[1]q,"seed":"1",
  "limits":{"cores":1,"memory_mb":192,"sockets":1024},
  "known":{"revision":1,"complete":true,"members":[%[2]s]},
  "settings":{"balancers":1,"bounds":{"try_limit":4,"conn_idle_ms":600000,"retry_after":true,"max_retry_after_ms":1000},
@@ -40,99 +40,99 @@
   "tiers_of_service":[{"name":"basic","quota_rate":1000,"burst":1000,"price":1}]}}`
 )
 
-// shutdownConfiguration is one of a program before these backends, whose requests
+// newShutdownConfig is one of a program before these backends, whose requests
 // have a deadline.
-func shutdownConfiguration(discovery string, deadline time.Duration, backends ...string) string {
+func newShutdownConfig(discovery string, deadline time.Duration, backends ...string) string {
 	var members []string
 	for i, addr := range backends {
 		members = append(members, fmt.Sprintf(`{"id":"b%d","host_port":%q,"phase":"SERVING","size":1}`, i, addr))
 	}
-	return fmt.Sprintf(shutdownConfig, discovery, strings.Join(members, ","),
+	return fmt.Sprintf(shutdownConfigFormat, discovery, strings.Join(members, ","),
 		(deadline / 3).Milliseconds(), deadline.Milliseconds())
 }
 
-// payment is a request that must not run twice, whose client waits for so many milliseconds.
-func payment(id, wait int) string {
-	return encode("Q.DO", "00000000b4d65521", fmt.Sprintf("%016x", id),
-		fmt.Sprintf("c=payment,t=basic,d=%d,units=1,spread=1,first=0", wait), "BODY")
+// paymentCommand is a request that must not run twice, whose client waits for so many milliseconds.
+func paymentCommand(id, timeoutMillis int) string {
+	return encodeCommand("Q.DO", "00000000b4d65521", fmt.Sprintf("%016x", id),
+		fmt.Sprintf("c=payment,t=basic,d=%d,units=1,spread=1,first=0", timeoutMillis), "BODY")
 }
 
-// answer is what a client got for a request, or the error that ended its connection.
-type answer struct {
+// response is what a client got for a request, or the error that ended its connection.
+type response struct {
 	line string
 	err  error
 }
 
-// answerOf reads one answer beside the test.
-func answerOf(in *bufio.Reader) chan answer {
-	got := make(chan answer, 1)
+// readResponse reads one answer beside the test.
+func readResponse(in *bufio.Reader) chan response {
+	result := make(chan response, 1)
 	go func() {
 		line, err := in.ReadString('\n')
-		got <- answer{line, err}
+		result <- response{line, err}
 	}()
-	return got
+	return result
 }
 
-// ended tells that the other side has closed the connection.
-func ended(err error) bool {
+// isConnectionClosed tells that the other side has closed the connection.
+func isConnectionClosed(err error) bool {
 	return errors.Is(err, io.EOF) || errors.Is(err, syscall.ECONNRESET) || errors.Is(err, net.ErrClosed)
 }
 
 // What is read after SIGTERM is answered before the process may be killed, also
 // when it is the first command on a connection that was accepted late and the
 // backend hangs through the whole shutdown.
-func TestRequestTakenLateInAShutdownIsAnsweredBeforeTheKill(t *testing.T) {
+func TestLateRequestAnsweredBeforeKill(t *testing.T) {
 	backend, requests := hangingBackend(t)
-	discovery, _ := server(t)
-	p := start(t, shutdownConfiguration(discovery, longestDeadline, backend))
-	p.ready()
-	p.signal(syscall.SIGTERM)
-	comes, kill := time.After(lateAfter), time.After(longestDeadline+killAfter)
-	p.logged("state=draining")
-	late, in := dial(t, p.addr) // clients still come for a while after SIGTERM
-	p.logged(`state="taking no further command on used connections"`)
-	<-comes
-	if _, err := io.WriteString(late, payment(1, 1900)); err != nil {
+	discovery, _ := startListener(t)
+	p := startProgram(t, newShutdownConfig(discovery, longestDeadline, backend))
+	p.waitUntilServing()
+	p.sendSignal(syscall.SIGTERM)
+	sendTime, killTime := time.After(lateRequestDelay), time.After(longestDeadline+killGrace)
+	p.waitForLogLine("state=draining")
+	lateConn, in := dial(t, p.addr) // clients still come for a while after SIGTERM
+	p.waitForLogLine(`state="taking no further command on used connections"`)
+	<-sendTime
+	if _, err := io.WriteString(lateConn, paymentCommand(1, 1900)); err != nil {
 		t.Fatal(err)
 	}
 	select {
-	case got := <-answerOf(in):
+	case got := <-readResponse(in):
 		if got.err != nil && len(requests) > 0 {
 			t.Errorf("a request that was forwarded ends with %q, %v", got.line, got.err)
 		}
-		if got.err != nil && !ended(got.err) {
+		if got.err != nil && !isConnectionClosed(got.err) {
 			t.Errorf("the connection ends with %v", got.err)
 		}
-	case <-kill:
-		p.signal(os.Kill)
+	case <-killTime:
+		p.sendSignal(os.Kill)
 		t.Errorf("the request has no answer when the process may be killed; %d attempts were forwarded", len(requests))
 	}
 }
 
-// seenRequest is one that came to a backend: its id and the time it was told.
-type seenRequest struct {
-	id  string
-	at  time.Time
-	end time.Time // by when its answer is waited for
+// receivedRequest is one that came to a backend: its id and the time it was told.
+type receivedRequest struct {
+	requestID  string
+	receivedAt time.Time
+	deadline   time.Time // by when its answer is waited for
 }
 
-// partBackend answers requests with the text that reply returns, if any, and
+// fixedReplyBackend answers requests with the text that reply returns, if any, and
 // keeps what it has seen.
-type partBackend struct {
-	addr string
-	mu   sync.Mutex
-	seen []seenRequest
+type fixedReplyBackend struct {
+	addr     string
+	mu       sync.Mutex
+	received []receivedRequest
 }
 
-var toldRequest = regexp.MustCompile(`\r\n([0-9a-f]{16})\r\n\$\d+\r\nc=\w+,t=basic,d=(\d+),`)
+var forwardedRequestPattern = regexp.MustCompile(`\r\n([0-9a-f]{16})\r\n\$\d+\r\nc=\w+,t=basic,d=(\d+),`)
 
-func newPartBackend(t *testing.T, reply string) *partBackend {
-	addr, requests := server(t)
-	b := &partBackend{addr: addr}
+func newFixedReplyBackend(t *testing.T, reply string) *fixedReplyBackend {
+	addr, connections := startListener(t)
+	b := &fixedReplyBackend{addr: addr}
 	go func() {
 		for {
 			select {
-			case nc := <-requests:
+			case nc := <-connections:
 				t.Cleanup(func() { nc.Close() })
 				go b.serve(nc, reply)
 			case <-t.Context().Done():
@@ -143,7 +143,7 @@
 	return b
 }
 
-func (b *partBackend) serve(nc net.Conn, reply string) {
+func (b *fixedReplyBackend) serve(nc net.Conn, reply string) {
 	buf := make([]byte, 64<<10)
 	for {
 		n, err := nc.Read(buf)
@@ -151,26 +151,26 @@
 			return
 		}
 		now := time.Now()
-		told := toldRequest.FindSubmatch(buf[:n])
-		if told == nil {
+		match := forwardedRequestPattern.FindSubmatch(buf[:n])
+		if match == nil {
 			continue
 		}
-		wait, _ := strconv.Atoi(string(told[2]))
+		timeoutMillis, _ := strconv.Atoi(string(match[2]))
 		b.mu.Lock()
-		b.seen = append(b.seen, seenRequest{string(told[1]), now, now.Add(time.Duration(wait) * time.Millisecond)})
+		b.received = append(b.received, receivedRequest{string(match[1]), now, now.Add(time.Duration(timeoutMillis) * time.Millisecond)})
 		b.mu.Unlock()
 		io.WriteString(nc, reply)
 	}
 }
 
-// visitor is a client that sends request after request, on a connection for as
+// testClient is a client that sends request after request, on a connection for as
 // long as that stays open, and then on another.
-type visitor struct {
+type testClient struct {
 	answered map[string]bool
 }
 
-// visit goes on until the program takes no further connection, or the time is up.
-func (v *visitor) visit(addr string, first int, wait time.Duration, until time.Time) {
+// sendRequests goes on until the program takes no further connection, or the time is up.
+func (c *testClient) sendRequests(addr string, first int, timeout time.Duration, until time.Time) {
 	for id := first; time.Now().Before(until); {
 		nc, err := net.Dial("tcp", addr)
 		if err != nil {
@@ -180,22 +180,22 @@
 		in := bufio.NewReader(nc)
 		for err == nil {
 			id++
-			if _, err = io.WriteString(nc, payment(id, int(wait.Milliseconds()))); err == nil {
-				err = v.hear(in, id)
+			if _, err = io.WriteString(nc, paymentCommand(id, int(timeout.Milliseconds()))); err == nil {
+				err = c.readAnswer(in, id)
 			}
 		}
 		nc.Close()
 	}
 }
 
-// hear waits for a whole answer.
-func (v *visitor) hear(in *bufio.Reader, id int) error {
+// readAnswer waits for a whole answer.
+func (c *testClient) readAnswer(in *bufio.Reader, id int) error {
 	line, err := in.ReadString('\n')
 	if err == nil && strings.HasPrefix(line, "$") {
 		_, err = in.ReadString('\n')
 	}
 	if err == nil {
-		v.answered[fmt.Sprintf("%016x", id)] = true
+		c.answered[fmt.Sprintf("%016x", id)] = true
 	}
 	return err
 }
@@ -203,146 +203,146 @@
 // Whatever clients do while the program stops, long or short their deadlines:
 // it ends before it may be killed, all that it has read is answered, and no
 // backend is told more time than is left.
-func TestProgramEndsBeforeTheKillWithEverythingAnswered(t *testing.T) {
+func TestShutdownAnswersAllRequestsBeforeKill(t *testing.T) {
 	for _, deadline := range []time.Duration{300 * time.Millisecond, longestDeadline, 15 * time.Second} {
 		t.Run(deadline.String(), func(t *testing.T) {
 			t.Parallel()
-			checkProgramEnds(t, deadline, func(*program) {})
+			checkShutdown(t, deadline, func(*program) {})
 		})
 	}
 }
 
-// holdUp is how long a process may be held up between reading its clock and writing.
-const holdUp = 150 * time.Millisecond
+// suspension is how long a process may be held up between reading its clock and writing.
+const suspension = 150 * time.Millisecond
 
 // The same holds for a program that is held up shortly before the kill: while the
 // last requests are answered, or while the last commands are read.
-func TestProgramThatIsHeldUpEndsBeforeTheKill(t *testing.T) {
+func TestSuspendedShutdownEndsBeforeKill(t *testing.T) {
 	for _, before := range []time.Duration{430 * time.Millisecond, 350 * time.Millisecond} {
 		t.Run(before.String(), func(t *testing.T) {
 			t.Parallel()
-			checkProgramEnds(t, longestDeadline, func(p *program) {
-				time.AfterFunc(longestDeadline+killAfter-before, func() {
+			checkShutdown(t, longestDeadline, func(p *program) {
+				time.AfterFunc(longestDeadline+killGrace-before, func() {
 					p.command.Process.Signal(syscall.SIGSTOP)
-					time.AfterFunc(holdUp, func() { p.command.Process.Signal(syscall.SIGCONT) })
+					time.AfterFunc(suspension, func() { p.command.Process.Signal(syscall.SIGCONT) })
 				})
 			})
 		})
 	}
 }
 
-// checkProgramEnds stops a program amid all kinds of clients. trouble is called
+// checkShutdown stops a program amid all kinds of clients. trouble is called
 // with the signal.
-func checkProgramEnds(t *testing.T, deadline time.Duration, trouble func(*program)) {
-	backends := []*partBackend{newPartBackend(t, ""), newPartBackend(t, "*3\r\n$5\r\nva"), newPartBackend(t, "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n")}
-	discovery, _ := server(t)
-	p := start(t, shutdownConfiguration(discovery, deadline, backends[0].addr, backends[1].addr, backends[2].addr))
-	p.ready()
-	kill := min(deadline, 3*time.Second) + killAfter
+func checkShutdown(t *testing.T, deadline time.Duration, afterSignal func(*program)) {
+	backends := []*fixedReplyBackend{newFixedReplyBackend(t, ""), newFixedReplyBackend(t, "*3\r\n$5\r\nva"), newFixedReplyBackend(t, "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n")}
+	discovery, _ := startListener(t)
+	p := startProgram(t, newShutdownConfig(discovery, deadline, backends[0].addr, backends[1].addr, backends[2].addr))
+	p.waitUntilServing()
+	killDelay := min(deadline, 3*time.Second) + killGrace
 
-	silent, _ := dial(t, p.addr)
-	halfway, halfIn := dial(t, p.addr)
-	io.WriteString(halfway, payment(1, 1000)[:40])
+	idleConn, _ := dial(t, p.addr)
+	partialConn, partialReader := dial(t, p.addr)
+	io.WriteString(partialConn, paymentCommand(1, 1000)[:40])
 	until := time.Now().Add(time.Minute)
-	var visitors []*visitor
+	var clients []*testClient
 	var group sync.WaitGroup
 	for i := range 8 {
-		v := &visitor{answered: map[string]bool{}}
-		visitors = append(visitors, v)
-		group.Go(func() { v.visit(p.addr, (i+1)<<20, deadline, until) })
+		client := &testClient{answered: map[string]bool{}}
+		clients = append(clients, client)
+		group.Go(func() { client.sendRequests(p.addr, (i+1)<<20, deadline, until) })
 	}
-	for seen := 0; seen < 3; { // all are at work
-		seen = 0
+	for activeBackends := 0; activeBackends < 3; { // all are at work
+		activeBackends = 0
 		for _, b := range backends {
 			b.mu.Lock()
-			seen += min(1, len(b.seen))
+			activeBackends += min(1, len(b.received))
 			b.mu.Unlock()
 		}
 	}
-	terminated := time.Now()
-	p.signal(syscall.SIGTERM)
-	trouble(p)
+	signalledAt := time.Now()
+	p.sendSignal(syscall.SIGTERM)
+	afterSignal(p)
 	select {
-	case <-p.ended:
-	case <-time.After(kill):
-		p.signal(os.Kill)
-		t.Fatalf("it has not ended %v after SIGTERM", kill)
+	case <-p.exited:
+	case <-time.After(killDelay):
+		p.sendSignal(os.Kill)
+		t.Fatalf("it has not ended %v after SIGTERM", killDelay)
 	}
 	if p.err != nil {
 		t.Errorf("it ends with %v", p.err)
 	}
 	group.Wait()
-	if text, err := io.ReadAll(silent); err != nil && !ended(err) || len(text) > 0 && text[0] != '-' {
+	if text, err := io.ReadAll(idleConn); err != nil && !isConnectionClosed(err) || len(text) > 0 && text[0] != '-' {
 		t.Errorf("a connection that says nothing gets %q, %v; want an error line or the end", text, err)
 	}
-	if line, err := halfIn.ReadString('\n'); err != nil || line[0] != '-' {
+	if line, err := partialReader.ReadString('\n'); err != nil || line[0] != '-' {
 		t.Errorf("half a command is answered %q, %v; want an error line", line, err)
 	}
 	answered := map[string]bool{}
-	for _, v := range visitors {
-		maps.Copy(answered, v.answered)
+	for _, client := range clients {
+		maps.Copy(answered, client.answered)
 	}
 	for _, b := range backends {
-		for _, request := range b.seen {
-			if !answered[request.id] {
-				t.Errorf("request %s was forwarded %v after SIGTERM and has no answer", request.id, request.at.Sub(terminated))
+		for _, request := range b.received {
+			if !answered[request.requestID] {
+				t.Errorf("request %s was forwarded %v after SIGTERM and has no answer", request.requestID, request.receivedAt.Sub(signalledAt))
 			}
-			if request.at.After(terminated.Add(signalDelivery)) && request.end.After(terminated.Add(kill)) {
-				t.Errorf("request %s was forwarded %v after SIGTERM and is told to last until %v", request.id,
-					request.at.Sub(terminated), request.end.Sub(terminated))
+			if request.receivedAt.After(signalledAt.Add(signalDelay)) && request.deadline.After(signalledAt.Add(killDelay)) {
+				t.Errorf("request %s was forwarded %v after SIGTERM and is told to last until %v", request.requestID,
+					request.receivedAt.Sub(signalledAt), request.deadline.Sub(signalledAt))
 			}
 		}
 	}
-	for _, line := range p.lines {
-		if id := takenRequest.FindStringSubmatch(line); id != nil && !answered[id[1]] {
-			t.Errorf("request %s was read and has no answer", id[1])
+	for _, line := range p.logLines {
+		if match := requestTakenPattern.FindStringSubmatch(line); match != nil && !answered[match[1]] {
+			t.Errorf("request %s was read and has no answer", match[1])
 		}
 	}
 }
 
-var takenRequest = regexp.MustCompile(`request taken" request=([0-9a-f]{16})`)
+var requestTakenPattern = regexp.MustCompile(`request taken" request=([0-9a-f]{16})`)
 
 // A signal that comes while the configuration is read is not missed: no client is
 // let in for longer than the kill allows.
-func TestProgramToldToEndWhileItStartsEndsInTime(t *testing.T) {
+func TestTerminationDuringStartup(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	if err := syscall.Mkfifo(path, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	p := launch(t, path)
+	p := launchProgram(t, path)
 	file, err := os.OpenFile(path, os.O_WRONLY, 0) // returns once the program reads it
 	if err != nil {
 		t.Fatal(err)
 	}
-	p.signal(syscall.SIGTERM)
-	discovery, _ := server(t)
-	if _, err := io.WriteString(file, shutdownConfiguration(discovery, longestDeadline)); err != nil {
+	p.sendSignal(syscall.SIGTERM)
+	discovery, _ := startListener(t)
+	if _, err := io.WriteString(file, newShutdownConfig(discovery, longestDeadline)); err != nil {
 		t.Fatal(err)
 	}
 	file.Close()
-	p.wantEnd()
+	p.expectCleanExit()
 }
 
 // A log whose reader has gone does not end the program, in a shutdown least of
 // all: what was read is answered.
-func TestProgramOutlivesTheReaderOfItsLog(t *testing.T) {
+func TestClosedLogReaderDoesNotStopProgram(t *testing.T) {
 	backend, requests := hangingBackend(t)
-	discovery, _ := server(t)
-	p := start(t, shutdownConfiguration(discovery, longestDeadline, backend))
-	p.ready()
-	p.log.Close()
+	discovery, _ := startListener(t)
+	p := startProgram(t, newShutdownConfig(discovery, longestDeadline, backend))
+	p.waitUntilServing()
+	p.stderr.Close()
 	nc, in := dial(t, p.addr)
-	if _, err := io.WriteString(nc, payment(1, 1000)); err != nil {
+	if _, err := io.WriteString(nc, paymentCommand(1, 1000)); err != nil {
 		t.Fatal(err)
 	}
 	select {
 	case <-requests:
-	case <-time.After(patience):
+	case <-time.After(waitTimeout):
 		t.Fatal("the request is not forwarded")
 	}
-	p.signal(syscall.SIGTERM) // from here on the log tells of each request
-	if got := <-answerOf(in); got.line != "-ERR failed\r\n" {
+	p.sendSignal(syscall.SIGTERM) // from here on the log tells of each request
+	if got := <-readResponse(in); got.line != "-ERR failed\r\n" {
 		t.Errorf("the request is answered %q, %v", got.line, got.err)
 	}
-	p.wantEnd()
+	p.expectCleanExit()
 }
--- a/cmd/drill/main_test.go
+++ b/cmd/drill/main_test.go
@@ -76,11 +76,11 @@
 
 func TestListIndexReusedWithinBatch(t *testing.T) {
 	tail := testConfig + backendEntry(7) + backendEntry(8)
-	list := func(off int) []byte {
-		return eventRecord(267, 0, map[int]any{2: uint8(3), 3: uint32(off), 7: uint32(1)})
+	list := func(offset int) []byte {
+		return eventRecord(267, 0, map[int]any{2: uint8(3), 3: uint32(offset), 7: uint32(1)})
 	}
-	members := func(inst int) []byte {
-		return eventRecord(257, inst, map[int]any{6: uint8(2), 11: uint8(3)})
+	members := func(instance int) []byte {
+		return eventRecord(257, instance, map[int]any{6: uint8(2), 11: uint8(3)})
 	}
 	in := batchFrame(1, tail,
 		list(len(testConfig)), initEvent(1, 0), members(1),
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -135,11 +135,11 @@
 		}
 		e.Backends = e.Backends[:0]
 		for ; len(data) > 0; data = data[backendEntrySize:] {
-			m, err := decodeBackend(data)
+			backend, err := decodeBackend(data)
 			if err != nil {
 				return fail("%v", err)
 			}
-			e.Backends = append(e.Backends, m)
+			e.Backends = append(e.Backends, backend)
 		}
 	case EventMembers:
 		if record[6] > 3 {
@@ -166,11 +166,11 @@
 			e.Outcome.Metered, e.Outcome.Used = true, float64(usedCode-1)/100
 		}
 	case EventProbed:
-		st, ok := decodeStatus(littleEndian.Uint16(record[14:]))
+		probeStatus, ok := decodeStatus(littleEndian.Uint16(record[14:]))
 		if !ok {
 			return fail("outcome %d is unknown", littleEndian.Uint16(record[14:]))
 		}
-		e.Probe = choice.ProbeResult{Backend: littleEndian.Uint32(record[16:]), Status: st, Elapsed: fromMillis(getFloat64(record, 6)), Load: decodeLoad(record[20:])}
+		e.Probe = choice.ProbeResult{Backend: littleEndian.Uint32(record[16:]), Status: probeStatus, Elapsed: fromMillis(getFloat64(record, 6)), Load: decodeLoad(record[20:])}
 	case EventGone:
 		e.ID = littleEndian.Uint32(record[6:])
 	case EventTimer:
@@ -212,12 +212,12 @@
 	return backend, nil
 }
 
-func decodeLoad(r []byte) (l choice.Load) {
-	l.Count = min(int(r[0]), len(l.Values))
-	for i := range l.Count {
-		l.Values[i] = getFloat32(r, 1+4*i)
+func decodeLoad(data []byte) (load choice.Load) {
+	load.Count = min(int(data[0]), len(load.Values))
+	for i := range load.Count {
+		load.Values[i] = getFloat32(data, 1+4*i)
 	}
-	return l
+	return load
 }
 
 func decodeStatus(code uint16) (choice.Status, bool) {
@@ -231,10 +231,12 @@
 	return time.Duration(math.Round(ms * float64(time.Millisecond)))
 }
 
-func getFloat64(r []byte, at int) float64 { return math.Float64frombits(littleEndian.Uint64(r[at:])) }
+func getFloat64(data []byte, offset int) float64 {
+	return math.Float64frombits(littleEndian.Uint64(data[offset:]))
+}
 
-func getFloat32(r []byte, at int) float64 {
-	return float64(math.Float32frombits(littleEndian.Uint32(r[at:])))
+func getFloat32(data []byte, offset int) float64 {
+	return float64(math.Float32frombits(littleEndian.Uint32(data[offset:])))
 }
 
 // A Reply collects the actions that answer one batch.
@@ -249,63 +251,63 @@
 	reply.count, reply.records, reply.tail = 0, reply.records[:0], reply.tail[:0]
 }
 
-func (reply *Reply) appendAction(code uint16, inst uint32) []byte {
+func (reply *Reply) appendAction(code uint16, instance uint32) []byte {
 	n := len(reply.records)
 	for range actionSize {
 		reply.records = append(reply.records, 0)
 	}
-	r := reply.records[n:]
-	littleEndian.PutUint16(r, code)
-	littleEndian.PutUint32(r[2:], inst)
+	action := reply.records[n:]
+	littleEndian.PutUint16(action, code)
+	littleEndian.PutUint32(action[2:], instance)
 	reply.count++
-	return r
+	return action
 }
 
 // Send starts an attempt.
-func (reply *Reply) Send(inst, id, backend uint32, timeout time.Duration) {
-	r := reply.appendAction(actionSend, inst)
-	littleEndian.PutUint32(r[6:], id)
-	littleEndian.PutUint32(r[10:], backend)
-	putMillis(r[14:], timeout)
+func (reply *Reply) Send(instance, id, backend uint32, timeout time.Duration) {
+	action := reply.appendAction(actionSend, instance)
+	littleEndian.PutUint32(action[6:], id)
+	littleEndian.PutUint32(action[10:], backend)
+	putMillis(action[14:], timeout)
 }
 
 // Refuse declines a request.
-func (reply *Reply) Refuse(inst, id uint32, retryAfter time.Duration) {
-	r := reply.appendAction(actionRefuse, inst)
-	littleEndian.PutUint32(r[6:], id)
-	putMillis(r[10:], retryAfter)
+func (reply *Reply) Refuse(instance, id uint32, retryAfter time.Duration) {
+	action := reply.appendAction(actionRefuse, instance)
+	littleEndian.PutUint32(action[6:], id)
+	putMillis(action[10:], retryAfter)
 }
 
 // Fail fails a request.
-func (reply *Reply) Fail(inst, id uint32) {
-	littleEndian.PutUint32(reply.appendAction(actionFail, inst)[6:], id)
+func (reply *Reply) Fail(instance, id uint32) {
+	littleEndian.PutUint32(reply.appendAction(actionFail, instance)[6:], id)
 }
 
 // Cancel stops the wait for an attempt.
-func (reply *Reply) Cancel(inst, id uint32, attempt int) {
-	r := reply.appendAction(actionCancel, inst)
-	littleEndian.PutUint32(r[6:], id)
-	r[10] = uint8(attempt)
+func (reply *Reply) Cancel(instance, id uint32, attempt int) {
+	action := reply.appendAction(actionCancel, instance)
+	littleEndian.PutUint32(action[6:], id)
+	action[10] = uint8(attempt)
 }
 
 // Probe checks a backend.
-func (reply *Reply) Probe(inst, backend uint32) {
-	littleEndian.PutUint32(reply.appendAction(actionProbe, inst)[6:], backend)
+func (reply *Reply) Probe(instance, backend uint32) {
+	littleEndian.PutUint32(reply.appendAction(actionProbe, instance)[6:], backend)
 }
 
 // SetTimer asks for a timer.
-func (reply *Reply) SetTimer(inst uint32, delay time.Duration, token uint64) {
-	r := reply.appendAction(actionSetTimer, inst)
-	putMillis(r[6:], delay)
-	littleEndian.PutUint64(r[14:], token)
+func (reply *Reply) SetTimer(instance uint32, delay time.Duration, token uint64) {
+	action := reply.appendAction(actionSetTimer, instance)
+	putMillis(action[6:], delay)
+	littleEndian.PutUint64(action[14:], token)
 }
 
 // Subscribe asks discovery for changes.
-func (reply *Reply) Subscribe(inst uint32) { reply.appendAction(actionSubscribe, inst)[6] = 1 }
+func (reply *Reply) Subscribe(instance uint32) { reply.appendAction(actionSubscribe, instance)[6] = 1 }
 
 // Fault declares that the decisions of an instance have failed.
-func (reply *Reply) Fault(inst uint32, message string) {
-	r := reply.appendAction(actionFault, inst)
+func (reply *Reply) Fault(instance uint32, message string) {
+	r := reply.appendAction(actionFault, instance)
 	littleEndian.PutUint32(r[6:], uint32(len(reply.tail)))
 	littleEndian.PutUint32(r[10:], uint32(len(message)))
 	reply.tail = append(reply.tail, message...)
@@ -325,6 +327,6 @@
 	return nil
 }
 
-func putMillis(r []byte, d time.Duration) {
-	littleEndian.PutUint64(r, math.Float64bits(float64(d)/float64(time.Millisecond)))
+func putMillis(data []byte, duration time.Duration) {
+	littleEndian.PutUint64(data, math.Float64bits(float64(duration)/float64(time.Millisecond)))
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -12,15 +12,15 @@
 )
 
 // frame builds a batch by hand from records and a tail.
-func frame(now string, seq byte, tail string, records ...string) []byte {
+func frame(clock string, seq byte, tail string, records ...string) []byte {
 	body := strings.Join(records, "")
 	size := 16 + len(body)/2 + len(tail)/2
 	head := []byte{byte(size), byte(size >> 8), byte(size >> 16), 0}
-	h, err := hex.DecodeString(now + hex.EncodeToString([]byte{byte(len(records)), 0, 0, 0, seq, 0, 0, 0}) + body + tail)
+	content, err := hex.DecodeString(clock + hex.EncodeToString([]byte{byte(len(records)), 0, 0, 0, seq, 0, 0, 0}) + body + tail)
 	if err != nil {
 		panic(err)
 	}
-	return append(head, h...)
+	return append(head, content...)
 }
 
 // paddedEvent pads the hex of a record to its size.
@@ -29,7 +29,7 @@
 	return fields + strings.Repeat("0", 2*eventSize-len(fields))
 }
 
-const clock1000 = "0000000000408f40" // 1000 ms
+const clock1000ms = "0000000000408f40" // 1000 ms
 
 func decodeBatch(t *testing.T, data []byte) (b Batch, events []Event) {
 	t.Helper()
@@ -48,7 +48,7 @@
 
 func TestGoldenEvents(t *testing.T) {
 	entry := "05000000 02 0100 0300 02 00000040 0000000000408f40"
-	batch, events := decodeBatch(t, frame(clock1000, 9, strings.ReplaceAll("7b7d"+entry, " ", ""),
+	batch, events := decodeBatch(t, frame(clock1000ms, 9, strings.ReplaceAll("7b7d"+entry, " ", ""),
 		paddedEvent("0001 04000000 0700000000000000 00000000 02000000"),
 		paddedEvent("0b01 02 02000000 01000000"),
 		paddedEvent("0101 04000000 01 08000000 02"),
@@ -127,22 +127,22 @@
 }
 
 func TestMalformedFrameErrors(t *testing.T) {
-	complete := frame(clock1000, 3, "", paddedEvent("0601 04000000"))
+	complete := frame(clock1000ms, 3, "", paddedEvent("0601 04000000"))
 	for _, c := range []struct{ name, want, data string }{
 		{"cut length", "cut short", string(complete[:2])},
 		{"cut frame", "cut short", string(complete[:30])},
 		{"short frame", "shorter than its header", "\x03\x00\x00\x00abc"},
 		{"long frame", "longer than", "\xff\xff\xff\xff"},
-		{"too many records", "do not fit", string(frame(clock1000, 3, "")[:12]) + "\x09\x00\x00\x00\x03\x00\x00\x00"},
+		{"too many records", "do not fit", string(frame(clock1000ms, 3, "")[:12]) + "\x09\x00\x00\x00\x03\x00\x00\x00"},
 		{"no time", "no time", string(frame("000000000000f87f", 3, ""))},
-		{"unknown code", "code 400", string(frame(clock1000, 3, "", paddedEvent("9001 04000000")))},
-		{"settings outside", "outside the tail", string(frame(clock1000, 3, "", paddedEvent("0001 04000000 0000000000000000 00000000 05000000")))},
-		{"list outside", "outside the tail", string(frame(clock1000, 3, "", paddedEvent("0b01 02 ffffffff ffffffff")))},
-		{"list number", "above 15", string(frame(clock1000, 3, "", paddedEvent("0b01 20")))},
-		{"list state", "state 9", string(frame(clock1000, 3, "05000000020100030009000000400000000000408f40", paddedEvent("0b01 02 00000000 01000000")))},
-		{"list kind", "kind of list 4", string(frame(clock1000, 3, "", paddedEvent("0101 04000000 04")))},
-		{"outcome", "outcome 15", string(frame(clock1000, 3, "", paddedEvent("0401 04000000 11000000 01 05000000 0f00")))},
-		{"probe outcome", "outcome 0", string(frame(clock1000, 3, "", paddedEvent("0701 04000000")))},
+		{"unknown code", "code 400", string(frame(clock1000ms, 3, "", paddedEvent("9001 04000000")))},
+		{"settings outside", "outside the tail", string(frame(clock1000ms, 3, "", paddedEvent("0001 04000000 0000000000000000 00000000 05000000")))},
+		{"list outside", "outside the tail", string(frame(clock1000ms, 3, "", paddedEvent("0b01 02 ffffffff ffffffff")))},
+		{"list number", "above 15", string(frame(clock1000ms, 3, "", paddedEvent("0b01 20")))},
+		{"list state", "state 9", string(frame(clock1000ms, 3, "05000000020100030009000000400000000000408f40", paddedEvent("0b01 02 00000000 01000000")))},
+		{"list kind", "kind of list 4", string(frame(clock1000ms, 3, "", paddedEvent("0101 04000000 04")))},
+		{"outcome", "outcome 15", string(frame(clock1000ms, 3, "", paddedEvent("0401 04000000 11000000 01 05000000 0f00")))},
+		{"probe outcome", "outcome 0", string(frame(clock1000ms, 3, "", paddedEvent("0701 04000000")))},
 	} {
 		var b Batch
 		err := b.ReadBatch(strings.NewReader(c.data))
@@ -186,9 +186,9 @@
 }
 
 func FuzzDecode(f *testing.F) {
-	f.Add(frame(clock1000, 3, "7b7d", paddedEvent("0001 04000000 0700000000000000 00000000 02000000")))
-	f.Add(frame(clock1000, 3, "05000000020100030002000000400000000000408f40", paddedEvent("0b01 02 00000000 01000000")))
-	f.Add(frame(clock1000, 3, "", paddedEvent("0401 04000000 11000000 01 05000000 1400"), paddedEvent("0601 04000000")))
+	f.Add(frame(clock1000ms, 3, "7b7d", paddedEvent("0001 04000000 0700000000000000 00000000 02000000")))
+	f.Add(frame(clock1000ms, 3, "05000000020100030002000000400000000000408f40", paddedEvent("0b01 02 00000000 01000000")))
+	f.Add(frame(clock1000ms, 3, "", paddedEvent("0401 04000000 11000000 01 05000000 1400"), paddedEvent("0601 04000000")))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		var b Batch
 		if b.ReadBatch(bytes.NewReader(data)) != nil {
