--- a/cmd/drill/main.go
+++ b/cmd/drill/main.go
@@ -1,6 +1,6 @@
-// Command drill is the adapter between the decision module and the
-// simulator's wire. It reads batches of events on standard input, hands each
-// to the instance it names and writes one reply a batch on standard output.
+// Command drill connects package choice to the simulator. It reads batches of events from
+// standard input, passes each event to the instance that it names, and writes one reply for each
+// batch to standard output. The protocol is described in package wire.
 package main
 
 import (
@@ -21,11 +21,11 @@
 	}
 }
 
-// An instance is one gateway and the Actions that write into the reply.
+// An instance is a gateway together with its choice.Actions, which append to the reply.
 type instance struct {
 	*choice.Gateway
 	number        uint32
-	mustSubscribe bool
+	mustSubscribe bool // discovery sends changes of the backend list only to subscribers
 	reply         *wire.Reply
 }
 
@@ -42,7 +42,7 @@
 	inst.reply.SetTimer(inst.number, delay, token)
 }
 
-// run serves batches until the end of input.
+// run processes batches until the end of input.
 func run(in io.Reader, out io.Writer) error {
 	var (
 		batch     wire.Batch
@@ -85,7 +85,7 @@
 				continue
 			}
 			if event.Code == wire.EventMembers && event.ListKind != choice.Failed && event.ListIndex > 15 {
-				return fmt.Errorf("batch %d, record %d: list number %d is above 15", batch.Seq, i, event.ListIndex)
+				return fmt.Errorf("batch %d, record %d: list index %d is above 15", batch.Seq, i, event.ListIndex)
 			}
 			dispatch(target, batch.Now, &event, &lists)
 		}
@@ -98,6 +98,7 @@
 	}
 }
 
+// startInstance creates the instance of an init event and subscribes to discovery if needed.
 func startInstance(batch *wire.Batch, event *wire.Event, reply *wire.Reply) (*instance, error) {
 	cfg, mustSubscribe, err := wire.ParseConfig(event.Config)
 	if err != nil {
@@ -113,7 +114,8 @@
 	return started, nil
 }
 
-// dispatch hands one event to its instance; a panic there becomes its fault.
+// dispatch passes one event to its instance. A panic of the instance is recovered and reported
+// to the simulator as a fault, so that other instances continue.
 func dispatch(target *instance, now time.Duration, event *wire.Event, lists *[16][]choice.Backend) {
 	defer func() {
 		if cause := recover(); cause != nil {
--- a/cmd/drill/main_test.go
+++ b/cmd/drill/main_test.go
@@ -18,7 +18,7 @@
 
 var littleEndian = binary.LittleEndian
 
-// eventRecord makes a record of 48 bytes; each field is placed at its byte.
+// eventRecord builds an event record of 48 bytes. The keys of fields are byte offsets.
 func eventRecord(code, instance int, fields map[int]any) []byte {
 	r := make([]byte, 48)
 	littleEndian.PutUint16(r, uint16(code))
@@ -31,6 +31,7 @@
 	return r
 }
 
+// batchFrame builds a frame of events whose clock is 10 ms times seq.
 func batchFrame(seq int, tail string, events ...[]byte) []byte {
 	body := append(bytes.Join(events, nil), tail...)
 	f := make([]byte, 20)
@@ -41,21 +42,26 @@
 	return append(f, body...)
 }
 
+// initEvent builds an init event whose settings are testConfig, at an offset in the tail.
 func initEvent(instance, offset int) []byte {
 	return eventRecord(256, instance, map[int]any{14: uint32(offset), 18: uint32(len(testConfig))})
 }
 
+// requestEvent builds a request event with 800 ms left.
 func requestEvent(instance, id int) []byte {
-	return eventRecord(258, instance, map[int]any{6: uint32(id), 23: float64(800), 31: float32(1), 35: float32(1)})
+	return eventRecord(258, instance,
+		map[int]any{6: uint32(id), 23: float64(800), 31: float32(1), 35: float32(1)})
 }
 
+// backendEntry encodes an entry of a backend list.
 func backendEntry(id int) string {
 	e := make([]byte, 22)
 	littleEndian.PutUint32(e, uint32(id))
 	return string(e)
 }
 
-// parseReplies splits what run wrote and returns each reply's action codes and backends of sends.
+// parseReplies decodes the output of run. It returns the action codes of each reply, and the
+// backends of all send actions.
 func parseReplies(t *testing.T, out []byte) (codes [][]int, sends []int) {
 	t.Helper()
 	for len(out) > 0 {
@@ -74,6 +80,7 @@
 	return
 }
 
+// A list applies to the events that follow it, until another list has the same index.
 func TestListIndexReusedWithinBatch(t *testing.T) {
 	tail := testConfig + backendEntry(7) + backendEntry(8)
 	list := func(offset int) []byte {
@@ -92,22 +99,24 @@
 	}
 	codes, sends := parseReplies(t, out.Bytes())
 	if len(codes) != 2 || len(codes[0]) != 0 || len(sends) != 2 || sends[0] != 7 || sends[1] != 8 {
-		t.Errorf("replies %v with sends to %v, want an empty one and sends to 7 and 8", codes, sends)
+		t.Errorf("replies %v with sends to %v, want one empty reply and sends to backends 7 and 8", codes, sends)
 	}
 }
 
+// An instance that is stopped and started within one batch starts without its earlier state.
 func TestRestartWithinBatch(t *testing.T) {
-	in := append(batchFrame(1, testConfig, initEvent(1, 0)), batchFrame(2, testConfig, eventRecord(265, 1, nil), initEvent(1, 0), requestEvent(1, 5))...)
+	in := append(batchFrame(1, testConfig, initEvent(1, 0)),
+		batchFrame(2, testConfig, eventRecord(265, 1, nil), initEvent(1, 0), requestEvent(1, 5))...)
 	var out bytes.Buffer
 	if err := run(bytes.NewReader(in), &out); err != nil {
 		t.Fatal(err)
 	}
 	if codes, _ := parseReplies(t, out.Bytes()); len(codes) != 2 || len(codes[1]) != 1 || codes[1][0] != 257 {
-		t.Errorf("replies %v, want the fresh instance to refuse for want of a backend", codes)
+		t.Errorf("replies %v, want the restarted instance to refuse the request because it has no backend", codes)
 	}
 }
 
-// TestMain lets the test binary stand in for drill, to see its exit status.
+// TestMain runs the program itself if DRILL is set, so that a test can check its exit code.
 func TestMain(m *testing.M) {
 	if os.Getenv("DRILL") != "" {
 		main()
@@ -116,6 +125,8 @@
 	os.Exit(m.Run())
 }
 
+// Invalid input must end the program with exit code 1 and a single line on standard error that
+// names the batch and the cause.
 func TestInvalidInputReportsErrorAndExitCode(t *testing.T) {
 	complete := batchFrame(4, testConfig, initEvent(1, 0))
 	for _, c := range []struct {
@@ -129,7 +140,8 @@
 		{"tail", "outside the tail", batchFrame(4, "", initEvent(1, 0))},
 		{"unknown instance", "instance 9 is unknown", batchFrame(4, "", eventRecord(262, 9, nil))},
 		{"no JSON", "settings", batchFrame(4, strings.Repeat("x", len(testConfig)), initEvent(1, 0))},
-		{"no plans", "Config.MaxAttempts", batchFrame(4, "{\"balancers\": 1}"+strings.Repeat(" ", len(testConfig)), initEvent(1, 0))},
+		{"no attempts", "Config.MaxAttempts",
+			batchFrame(4, "{\"balancers\": 1}"+strings.Repeat(" ", len(testConfig)), initEvent(1, 0))},
 	} {
 		cmd := exec.Command(os.Args[0])
 		cmd.Env = append(os.Environ(), "DRILL=1")
@@ -141,22 +153,23 @@
 		message := stderr.String()
 		if c.want == "" {
 			if err != nil || message != "" {
-				t.Errorf("%s: %v, said %q; want exit 0 in silence", c.name, err, message)
+				t.Errorf("%s: %v, stderr %q; want exit code 0 and no output", c.name, err, message)
 			}
 			continue
 		}
 		if !errors.As(err, &exit) || exit.ExitCode() != 1 || !strings.Contains(message, c.want) ||
 			!strings.Contains(message, "batch") || strings.Count(message, "\n") != 1 {
-			t.Errorf("%s: %v, said %q; want status 1 and one line that names the batch and says %q", c.name, err, message, c.want)
+			t.Errorf("%s: %v, stderr %q; want exit code 1 and one line that contains \"batch\" and %q",
+				c.name, err, message, c.want)
 		}
 	}
 }
 
-// A panic in the module becomes the fault of its instance.
+// A panic of an instance must be reported as a fault action and not end the program.
 func TestPanicReportsFault(t *testing.T) {
 	n := &instance{number: 3, reply: new(wire.Reply)}
 	ev := wire.Event{Code: wire.EventTimer}
-	dispatch(n, 0, &ev, nil) // no Gateway behind it: the call panics
+	dispatch(n, 0, &ev, nil) // panics, because the instance has no Gateway
 	var out bytes.Buffer
 	n.reply.Write(&out, 1)
 	if codes, _ := parseReplies(t, out.Bytes()); len(codes[0]) != 1 || codes[0][0] != 265 {
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -7,8 +7,8 @@
 	"cedarseam/choice"
 )
 
-// Settings are the parts of an instance's settings that the project reads.
-// Keys that it does not know are skipped.
+// settings holds the part of an instance's settings that is used here. Unknown keys are ignored.
+// Fields with times are in milliseconds.
 type settings struct {
 	Gateways int `json:"balancers"`
 	Bounds   struct {
@@ -65,15 +65,23 @@
 	Zone    int    `json:"zone"`
 }
 
-// The wire's words for effectsByName, groupsByName and load loadFieldNames.
+// Names of effects and groups in the settings, and names of load report fields in the settings
+// with their names in choice.Config.ReportFields.
 var (
-	effectsByName  = map[string]choice.Effect{"free": choice.Free, "guarded": choice.Guarded, "single_shot": choice.SingleShot}
-	groupsByName   = map[string]choice.Group{"": choice.GroupAll, "all": choice.GroupAll, "zone": choice.GroupZone, "cell": choice.GroupCell}
-	loadFieldNames = map[string]string{"rif": "inflight", "lat_ms": "latency_ms", "q": "queue", "busy": "util", "rate": "qps", "fail_rate": "eps"}
+	effectsByName = map[string]choice.Effect{
+		"free": choice.Free, "guarded": choice.Guarded, "single_shot": choice.SingleShot,
+	}
+	groupsByName = map[string]choice.Group{
+		"": choice.GroupAll, "all": choice.GroupAll, "zone": choice.GroupZone, "cell": choice.GroupCell,
+	}
+	loadFieldNames = map[string]string{
+		"rif": "inflight", "lat_ms": "latency_ms", "q": "queue",
+		"busy": "util", "rate": "qps", "fail_rate": "eps",
+	}
 )
 
-// ParseConfig turns an instance's settings into a Config. It also tells
-// whether discovery speaks only to those that ask.
+// ParseConfig converts an instance's settings from JSON to a Config. mustSubscribe reports
+// whether discovery sends changes of the backend list only to subscribers.
 func ParseConfig(data []byte) (cfg choice.Config, mustSubscribe bool, err error) {
 	var s settings
 	if err := json.Unmarshal(data, &s); err != nil {
@@ -83,12 +91,19 @@
 		Gateways: s.Gateways, Self: s.Self, Zone: s.Zone, Tick: fromMillis(s.Tick),
 		MeterPeriod: fromMillis(s.Specifics.MeterPeriod), MaxUnits: s.Specifics.MaxUnits,
 		MaxAttempts: s.Bounds.MaxAttempts, Hedging: s.Bounds.Hedging, Probing: s.Bounds.Probing,
-		Cancelling: s.Bounds.Cancelling, MaxRetryAfter: fromMillis(s.Bounds.MaxRetryAfter), RetryAfterSupported: s.Bounds.RetryAfterSupported,
-		WeightsTrusted:  s.Weights == "nominal" || s.Weights == "rough",
-		InitialCapacity: s.Invariants.InitialCapacity, WarmUpPeriod: fromMillis(s.Invariants.WarmUpPeriod),
-		ColdOverloadFactor: s.Invariants.ColdOverloadFactor, ColdOverloadPeriod: fromMillis(s.Invariants.ColdOverloadPeriod),
-		DrainGrace: fromMillis(s.Invariants.DrainGrace), CrossZoneCost: s.Prices.CrossZoneCost,
-		HandshakeCost: s.Prices.HandshakeCost, ConnIdleTimeout: fromMillis(s.Bounds.ConnIdleTimeout), ConnectTimeout: fromMillis(s.Bounds.ConnectTimeout),
+		Cancelling:          s.Bounds.Cancelling,
+		MaxRetryAfter:       fromMillis(s.Bounds.MaxRetryAfter),
+		RetryAfterSupported: s.Bounds.RetryAfterSupported,
+		WeightsTrusted:      s.Weights == "nominal" || s.Weights == "rough",
+		InitialCapacity:     s.Invariants.InitialCapacity,
+		WarmUpPeriod:        fromMillis(s.Invariants.WarmUpPeriod),
+		ColdOverloadFactor:  s.Invariants.ColdOverloadFactor,
+		ColdOverloadPeriod:  fromMillis(s.Invariants.ColdOverloadPeriod),
+		DrainGrace:          fromMillis(s.Invariants.DrainGrace),
+		CrossZoneCost:       s.Prices.CrossZoneCost,
+		HandshakeCost:       s.Prices.HandshakeCost,
+		ConnIdleTimeout:     fromMillis(s.Bounds.ConnIdleTimeout),
+		ConnectTimeout:      fromMillis(s.Bounds.ConnectTimeout),
 	}
 	for _, field := range s.Report.Fields {
 		if name, ok := loadFieldNames[field]; ok {
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,5 +1,11 @@
-// Package wire is the codec of the simulator's wire: frames, records and the
-// settings. It translates and checks; it decides nothing.
+// Package wire encodes and decodes the simulator's binary protocol: frames, their records and
+// the settings of an instance. It only translates and validates; all decisions are made by
+// package choice.
+//
+// All numbers are little-endian. Every frame begins with its length as a uint32, which does not
+// count itself. A frame of events has a header, event records of a fixed size and a tail, to
+// which the records refer by offset and count. A reply has a header, action records of a fixed
+// size and a tail in the same way. Times are milliseconds as float64.
 package wire
 
 import (
@@ -12,49 +18,56 @@
 	"cedarseam/choice"
 )
 
-// Codes of the event records.
+// Codes and sizes of the protocol. Events and actions are numbered separately.
 const (
-	EventInit        = 256
-	EventMembers     = 257
-	EventRequest     = 258
-	EventFirst       = 259
-	EventOutcome     = 260
-	EventGone        = 261
-	EventTimer       = 262
-	EventProbed      = 263
-	EventPeer        = 264
-	EventStop        = 265
-	EventCounted     = 266
-	EventList        = 267
+	// Codes of event records, named after the protocol's events. EventFirst, EventPeer and
+	// EventCounted are valid but carry nothing that this package decodes.
+	EventInit    = 256
+	EventMembers = 257
+	EventRequest = 258
+	EventFirst   = 259
+	EventOutcome = 260
+	EventGone    = 261
+	EventTimer   = 262
+	EventProbed  = 263
+	EventPeer    = 264
+	EventStop    = 265
+	EventCounted = 266
+	EventList    = 267
+
+	// Sizes in bytes. The two header sizes exclude the length of the frame.
 	maxFrameSize     = 1 << 30
 	batchHeaderSize  = 16
 	replyHeaderSize  = 8
 	eventSize        = 48
 	actionSize       = 32
 	backendEntrySize = 22
-	actionSend       = 256
-	actionRefuse     = 257
-	actionFail       = 258
-	actionCancel     = 259
-	actionSetTimer   = 260
-	actionProbe      = 261
-	actionFault      = 265
-	actionSubscribe  = 266
+
+	// Codes of action records.
+	actionSend      = 256
+	actionRefuse    = 257
+	actionFail      = 258
+	actionCancel    = 259
+	actionSetTimer  = 260
+	actionProbe     = 261
+	actionFault     = 265
+	actionSubscribe = 266
 )
 
 var littleEndian = binary.LittleEndian
 
-// A Batch is one frame of events, decoded record by record with At. It is
-// valid until the next ReadBatch into it.
+// A Batch is one frame of events. DecodeEvent decodes its records one by one. The contents are
+// valid until the next call of ReadBatch.
 type Batch struct {
-	Now   time.Duration
-	Seq   uint32
-	Count int
+	Now   time.Duration // the simulator's clock
+	Seq   uint32        // sequence number of the batch
+	Count int           // number of event records
 	buf   []byte
 	tail  []byte
 }
 
-// ReadBatch reads one frame. It returns io.EOF at a clean end of input.
+// ReadBatch reads one frame. It returns io.EOF if the input ends before the first byte of a
+// frame, and another error if it ends inside a frame.
 func (b *Batch) ReadBatch(r io.Reader) error {
 	var head [4]byte
 	if n, err := io.ReadFull(r, head[:]); err != nil {
@@ -81,34 +94,35 @@
 	count := littleEndian.Uint32(b.buf[8:])
 	b.Seq = littleEndian.Uint32(b.buf[12:])
 	if !(math.Abs(now) < 1e12) {
-		return fmt.Errorf("batch %d: clock of %v ms is no time", b.Seq, now)
+		return fmt.Errorf("batch %d: clock value %v ms is out of range", b.Seq, now)
 	}
 	b.Now = fromMillis(now)
 	if uint64(count)*eventSize > uint64(size-batchHeaderSize) {
-		return fmt.Errorf("batch %d: %d records do not fit a frame of %d bytes", b.Seq, count, size)
+		return fmt.Errorf("batch %d: %d records do not fit in a frame of %d bytes", b.Seq, count, size)
 	}
 	b.Count = int(count)
 	b.tail = b.buf[batchHeaderSize+b.Count*eventSize:]
 	return nil
 }
 
-// An Event is one decoded record; which fields hold depends on Code.
+// An Event is one decoded record. Only the fields that belong to its Code are set; the others
+// may hold values of an earlier event.
 type Event struct {
 	Code      int
-	Instance  uint32
-	Seed      uint64
-	Config    []byte
-	ListKind  choice.ListKind
-	ListIndex int
-	Backends  []choice.Backend
-	Request   choice.Request
-	Outcome   choice.Outcome
-	Probe     choice.ProbeResult
-	ID        uint32
-	Token     uint64
+	Instance  uint32             // instance that the event is for; not used by EventList
+	Seed      uint64             // EventInit
+	Config    []byte             // EventInit: the settings as JSON
+	ListKind  choice.ListKind    // EventMembers
+	ListIndex int                // EventList, EventMembers
+	Backends  []choice.Backend   // EventList
+	Request   choice.Request     // EventRequest
+	Outcome   choice.Outcome     // EventOutcome
+	Probe     choice.ProbeResult // EventProbed
+	ID        uint32             // EventGone: the request whose client disconnected
+	Token     uint64             // EventTimer
 }
 
-// DecodeEvent decodes record i into e, whose Backends slice is reused.
+// DecodeEvent decodes record i into e. It reuses the memory of e.Backends.
 func (b *Batch) DecodeEvent(i int, e *Event) error {
 	record := b.buf[batchHeaderSize+i*eventSize:][:eventSize]
 	e.Code = int(littleEndian.Uint16(record))
@@ -121,17 +135,17 @@
 		e.Seed = littleEndian.Uint64(record[6:])
 		data, ok := b.tailRange(record[14:], 1)
 		if !ok {
-			return fail("settings lie outside the tail")
+			return fail("settings reference points outside the tail")
 		}
 		e.Config = data
 	case EventList:
 		e.ListIndex = int(record[2])
 		data, ok := b.tailRange(record[3:], backendEntrySize)
 		if !ok {
-			return fail("list of backends lies outside the tail")
+			return fail("backend list reference points outside the tail")
 		}
 		if e.ListIndex > 15 {
-			return fail("list number %d is above 15", e.ListIndex)
+			return fail("list index %d is above 15", e.ListIndex)
 		}
 		e.Backends = e.Backends[:0]
 		for ; len(data) > 0; data = data[backendEntrySize:] {
@@ -143,34 +157,51 @@
 		}
 	case EventMembers:
 		if record[6] > 3 {
-			return fail("kind of list %d is unknown", record[6])
+			return fail("list kind %d is unknown", record[6])
 		}
 		e.ListKind, e.ListIndex = choice.ListKind(record[6]), int(record[11])
 	case EventRequest:
 		e.Request = choice.Request{
-			ID: littleEndian.Uint32(record[6:]), Class: int(record[10]), Plan: int(littleEndian.Uint32(record[11:])), Customer: littleEndian.Uint64(record[15:]),
-			TimeLeft: fromMillis(getFloat64(record, 23)), Units: getFloat32(record, 31),
-			SetSize: int(getFloat32(record, 35)), SetStart: int(getFloat32(record, 39)), ClientRetry: record[43]&2 != 0,
+			ID:          littleEndian.Uint32(record[6:]),
+			Class:       int(record[10]),
+			Plan:        int(littleEndian.Uint32(record[11:])),
+			Customer:    littleEndian.Uint64(record[15:]),
+			TimeLeft:    fromMillis(getFloat64(record, 23)),
+			Units:       getFloat32(record, 31),
+			SetSize:     int(getFloat32(record, 35)),
+			SetStart:    int(getFloat32(record, 39)),
+			ClientRetry: record[43]&2 != 0,
 		}
 	case EventOutcome:
 		outcomeStatus, ok := decodeStatus(littleEndian.Uint16(record[15:]))
 		if !ok {
-			return fail("outcome %d is unknown", littleEndian.Uint16(record[15:]))
+			return fail("status code %d is unknown", littleEndian.Uint16(record[15:]))
 		}
 		usedCode := littleEndian.Uint16(record[26:])
 		e.Outcome = choice.Outcome{
-			ID: littleEndian.Uint32(record[6:]), Attempt: int(record[10]), Backend: littleEndian.Uint32(record[11:]), Status: outcomeStatus,
-			Elapsed: fromMillis(getFloat64(record, 17)), Answered: record[25] != 0, Load: decodeLoad(record[30:]),
+			ID:       littleEndian.Uint32(record[6:]),
+			Attempt:  int(record[10]),
+			Backend:  littleEndian.Uint32(record[11:]),
+			Status:   outcomeStatus,
+			Elapsed:  fromMillis(getFloat64(record, 17)),
+			Answered: record[25] != 0,
+			Load:     decodeLoad(record[30:]),
 		}
+		// The code is 0 if no use was reported; otherwise the use in hundredths, plus 1.
 		if usedCode > 0 {
 			e.Outcome.Metered, e.Outcome.Used = true, float64(usedCode-1)/100
 		}
 	case EventProbed:
 		probeStatus, ok := decodeStatus(littleEndian.Uint16(record[14:]))
 		if !ok {
-			return fail("outcome %d is unknown", littleEndian.Uint16(record[14:]))
+			return fail("status code %d is unknown", littleEndian.Uint16(record[14:]))
+		}
+		e.Probe = choice.ProbeResult{
+			Backend: littleEndian.Uint32(record[16:]),
+			Status:  probeStatus,
+			Elapsed: fromMillis(getFloat64(record, 6)),
+			Load:    decodeLoad(record[20:]),
 		}
-		e.Probe = choice.ProbeResult{Backend: littleEndian.Uint32(record[16:]), Status: probeStatus, Elapsed: fromMillis(getFloat64(record, 6)), Load: decodeLoad(record[20:])}
 	case EventGone:
 		e.ID = littleEndian.Uint32(record[6:])
 	case EventTimer:
@@ -182,7 +213,8 @@
 	return nil
 }
 
-// tailRange resolves a reference into the tail: an offset and a count of items.
+// tailRange returns the part of the tail that a reference points to. A reference is an offset in
+// bytes and a count of items. It returns false if that part is not wholly inside the tail.
 func (b *Batch) tailRange(reference []byte, itemSize uint64) ([]byte, bool) {
 	offset, size := uint64(littleEndian.Uint32(reference)), uint64(littleEndian.Uint32(reference[4:]))*itemSize
 	if offset+size > uint64(len(b.tail)) {
@@ -191,9 +223,13 @@
 	return b.tail[offset : offset+size], true
 }
 
+// decodeBackend decodes one entry of a backend list.
 func decodeBackend(data []byte) (choice.Backend, error) {
 	backend := choice.Backend{
-		ID: littleEndian.Uint32(data), Zone: int(data[4]), Kind: int(littleEndian.Uint16(data[5:])), Cell: int(littleEndian.Uint16(data[7:])),
+		ID:     littleEndian.Uint32(data),
+		Zone:   int(data[4]),
+		Kind:   int(littleEndian.Uint16(data[5:])),
+		Cell:   int(littleEndian.Uint16(data[7:])),
 		Weight: getFloat32(data, 10),
 	}
 	switch data[9] {
@@ -206,12 +242,14 @@
 	default:
 		return backend, fmt.Errorf("state %d of backend %d is unknown", data[9], backend.ID)
 	}
+	// A start time of 0 means that it is unknown.
 	if startedMillis := getFloat64(data, 14); startedMillis != 0 {
 		backend.Started, backend.StartKnown = fromMillis(startedMillis), true
 	}
 	return backend, nil
 }
 
+// decodeLoad decodes a load report: a count and that many float32 values.
 func decodeLoad(data []byte) (load choice.Load) {
 	load.Count = min(int(data[0]), len(load.Values))
 	for i := range load.Count {
@@ -220,6 +258,7 @@
 	return load
 }
 
+// decodeStatus converts a status code: 10 to 80 in steps of 10, in the order of choice.Status.
 func decodeStatus(code uint16) (choice.Status, bool) {
 	if code < 10 || code > 80 || code%10 != 0 {
 		return 0, false
@@ -227,6 +266,7 @@
 	return choice.Status(code/10 - 1), true
 }
 
+// fromMillis converts milliseconds to a duration, rounded to the nanosecond.
 func fromMillis(ms float64) time.Duration {
 	return time.Duration(math.Round(ms * float64(time.Millisecond)))
 }
@@ -239,18 +279,19 @@
 	return float64(math.Float32frombits(littleEndian.Uint32(data[offset:])))
 }
 
-// A Reply collects the actions that answer one batch.
+// A Reply collects the actions that are sent in reply to one batch.
 type Reply struct {
 	count   uint32
 	records []byte
 	tail    []byte
 }
 
-// Reset empties the reply.
+// Reset removes all actions and keeps the allocated memory.
 func (reply *Reply) Reset() {
 	reply.count, reply.records, reply.tail = 0, reply.records[:0], reply.tail[:0]
 }
 
+// appendAction adds an action record and returns it, zeroed but for its code and instance.
 func (reply *Reply) appendAction(code uint16, instance uint32) []byte {
 	n := len(reply.records)
 	for range actionSize {
@@ -263,7 +304,7 @@
 	return action
 }
 
-// Send starts an attempt.
+// Send appends an action that sends an attempt of a request to a backend.
 func (reply *Reply) Send(instance, id, backend uint32, timeout time.Duration) {
 	action := reply.appendAction(actionSend, instance)
 	littleEndian.PutUint32(action[6:], id)
@@ -271,41 +312,41 @@
 	putMillis(action[14:], timeout)
 }
 
-// Refuse declines a request.
+// Refuse appends an action that refuses a request and advises when to retry it.
 func (reply *Reply) Refuse(instance, id uint32, retryAfter time.Duration) {
 	action := reply.appendAction(actionRefuse, instance)
 	littleEndian.PutUint32(action[6:], id)
 	putMillis(action[10:], retryAfter)
 }
 
-// Fail fails a request.
+// Fail appends an action that ends a request with an error.
 func (reply *Reply) Fail(instance, id uint32) {
 	littleEndian.PutUint32(reply.appendAction(actionFail, instance)[6:], id)
 }
 
-// Cancel stops the wait for an attempt.
+// Cancel appends an action that cancels an attempt in flight.
 func (reply *Reply) Cancel(instance, id uint32, attempt int) {
 	action := reply.appendAction(actionCancel, instance)
 	littleEndian.PutUint32(action[6:], id)
 	action[10] = uint8(attempt)
 }
 
-// Probe checks a backend.
+// Probe appends an action that probes a backend.
 func (reply *Reply) Probe(instance, backend uint32) {
 	littleEndian.PutUint32(reply.appendAction(actionProbe, instance)[6:], backend)
 }
 
-// SetTimer asks for a timer.
+// SetTimer appends an action that requests a timer event with a token after a delay.
 func (reply *Reply) SetTimer(instance uint32, delay time.Duration, token uint64) {
 	action := reply.appendAction(actionSetTimer, instance)
 	putMillis(action[6:], delay)
 	littleEndian.PutUint64(action[14:], token)
 }
 
-// Subscribe asks discovery for changes.
+// Subscribe appends an action that subscribes to changes of the backend list.
 func (reply *Reply) Subscribe(instance uint32) { reply.appendAction(actionSubscribe, instance)[6] = 1 }
 
-// Fault declares that the decisions of an instance have failed.
+// Fault appends an action that reports an internal failure of an instance.
 func (reply *Reply) Fault(instance uint32, message string) {
 	r := reply.appendAction(actionFault, instance)
 	littleEndian.PutUint32(r[6:], uint32(len(reply.tail)))
@@ -313,7 +354,7 @@
 	reply.tail = append(reply.tail, message...)
 }
 
-// Write writes the reply to batch seq as one frame.
+// Write writes the actions as one frame, in reply to the batch with sequence number seq.
 func (reply *Reply) Write(w io.Writer, seq uint32) error {
 	var header [4 + replyHeaderSize]byte
 	littleEndian.PutUint32(header[:], uint32(replyHeaderSize+len(reply.records)+len(reply.tail)))
@@ -327,6 +368,7 @@
 	return nil
 }
 
+// putMillis writes a duration as milliseconds.
 func putMillis(data []byte, duration time.Duration) {
 	littleEndian.PutUint64(data, math.Float64bits(float64(duration)/float64(time.Millisecond)))
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -11,26 +11,30 @@
 	"cedarseam/choice"
 )
 
-// frame builds a batch by hand from records and a tail.
+// frame builds a frame of events from hex strings: the clock, the tail and the records.
 func frame(clock string, seq byte, tail string, records ...string) []byte {
 	body := strings.Join(records, "")
 	size := 16 + len(body)/2 + len(tail)/2
 	head := []byte{byte(size), byte(size >> 8), byte(size >> 16), 0}
-	content, err := hex.DecodeString(clock + hex.EncodeToString([]byte{byte(len(records)), 0, 0, 0, seq, 0, 0, 0}) + body + tail)
+	content, err := hex.DecodeString(
+		clock + hex.EncodeToString([]byte{byte(len(records)), 0, 0, 0, seq, 0, 0, 0}) + body + tail)
 	if err != nil {
 		panic(err)
 	}
 	return append(head, content...)
 }
 
-// paddedEvent pads the hex of a record to its size.
+// paddedEvent removes the spaces from the hex digits of an event record and pads it with zeros
+// to the record size.
 func paddedEvent(fields string) string {
 	fields = strings.ReplaceAll(fields, " ", "")
 	return fields + strings.Repeat("0", 2*eventSize-len(fields))
 }
 
-const clock1000ms = "0000000000408f40" // 1000 ms
+// clock1000ms is 1000.0 as a little-endian float64.
+const clock1000ms = "0000000000408f40"
 
+// decodeBatch decodes a frame and all of its events.
 func decodeBatch(t *testing.T, data []byte) (b Batch, events []Event) {
 	t.Helper()
 	if err := b.ReadBatch(bytes.NewReader(data)); err != nil {
@@ -61,36 +65,48 @@
 		paddedEvent("0301 04000000"), paddedEvent("0801 04000000"), paddedEvent("0a01 04000000"),
 	))
 	if batch.Now != time.Second || batch.Seq != 9 {
-		t.Errorf("header read as %v, %d", batch.Now, batch.Seq)
+		t.Errorf("header decoded as %v, %d", batch.Now, batch.Seq)
 	}
 	if e := events[0]; e.Code != EventInit || e.Instance != 4 || e.Seed != 7 || string(e.Config) != "{}" {
-		t.Errorf("init read as %+v", e)
+		t.Errorf("init decoded as %+v", e)
+	}
+	want := choice.Backend{
+		ID: 5, Zone: 2, Kind: 1, Cell: 3, State: choice.Draining, Weight: 2,
+		Started: time.Second, StartKnown: true,
 	}
-	want := choice.Backend{ID: 5, Zone: 2, Kind: 1, Cell: 3, State: choice.Draining, Weight: 2, Started: time.Second, StartKnown: true}
 	if e := events[1]; e.Code != EventList || e.ListIndex != 2 || len(e.Backends) != 1 || e.Backends[0] != want {
-		t.Errorf("list read as %+v", e)
+		t.Errorf("list decoded as %+v", e)
 	}
 	if e := events[2]; e.Code != EventMembers || e.ListKind != choice.Full || e.ListIndex != 2 {
-		t.Errorf("members read as %+v", e)
+		t.Errorf("members decoded as %+v", e)
+	}
+	request := choice.Request{
+		ID: 17, Class: 1, Plan: 2, Customer: 42, TimeLeft: 500 * time.Millisecond, Units: 2,
+		SetSize: 3, SetStart: 1, ClientRetry: true,
 	}
-	request := choice.Request{ID: 17, Class: 1, Plan: 2, Customer: 42, TimeLeft: 500 * time.Millisecond, Units: 2, SetSize: 3, SetStart: 1, ClientRetry: true}
 	if e := events[3]; e.Request != request {
-		t.Errorf("request read as %+v", e.Request)
+		t.Errorf("request decoded as %+v", e.Request)
+	}
+	outcome := choice.Outcome{
+		ID: 17, Attempt: 1, Backend: 5, Status: choice.Error, Elapsed: 20 * time.Millisecond,
+		Answered: true, Metered: true, Used: 1,
+		Load: choice.Load{Count: 2, Values: [4]float64{1, 2}},
 	}
-	outcome := choice.Outcome{ID: 17, Attempt: 1, Backend: 5, Status: choice.Error, Elapsed: 20 * time.Millisecond, Answered: true,
-		Metered: true, Used: 1, Load: choice.Load{Count: 2, Values: [4]float64{1, 2}}}
 	if e := events[4]; e.Outcome != outcome {
-		t.Errorf("outcome read as %+v", e.Outcome)
+		t.Errorf("outcome decoded as %+v", e.Outcome)
 	}
 	if events[5].ID != 17 || events[6].Token != 77 {
-		t.Errorf("gone and timer read as %+v, %+v", events[5], events[6])
+		t.Errorf("gone and timer decoded as %+v, %+v", events[5], events[6])
+	}
+	probe := choice.ProbeResult{
+		Backend: 5, Status: choice.ConnectFailed, Elapsed: 20 * time.Millisecond,
+		Load: choice.Load{Count: 1, Values: [4]float64{1}},
 	}
-	probe := choice.ProbeResult{Backend: 5, Status: choice.ConnectFailed, Elapsed: 20 * time.Millisecond, Load: choice.Load{Count: 1, Values: [4]float64{1}}}
 	if e := events[7]; e.Probe != probe {
-		t.Errorf("probe read as %+v", e.Probe)
+		t.Errorf("probe decoded as %+v", e.Probe)
 	}
 	if events[8].Code != EventStop {
-		t.Errorf("stop read as %+v", events[8])
+		t.Errorf("stop decoded as %+v", events[8])
 	}
 }
 
@@ -122,7 +138,7 @@
 		pad("0a01 01000000 01") +
 		pad("0901 01000000 00000000 02000000") + "6e6f"
 	if got := hex.EncodeToString(out.Bytes()); got != want {
-		t.Errorf("reply\n got %s\nwant %s", got, want)
+		t.Errorf("encoded reply:\n got %s\nwant %s", got, want)
 	}
 }
 
@@ -134,15 +150,15 @@
 		{"short frame", "shorter than its header", "\x03\x00\x00\x00abc"},
 		{"long frame", "longer than", "\xff\xff\xff\xff"},
 		{"too many records", "do not fit", string(frame(clock1000ms, 3, "")[:12]) + "\x09\x00\x00\x00\x03\x00\x00\x00"},
-		{"no time", "no time", string(frame("000000000000f87f", 3, ""))},
+		{"clock", "out of range", string(frame("000000000000f87f", 3, ""))},
 		{"unknown code", "code 400", string(frame(clock1000ms, 3, "", paddedEvent("9001 04000000")))},
 		{"settings outside", "outside the tail", string(frame(clock1000ms, 3, "", paddedEvent("0001 04000000 0000000000000000 00000000 05000000")))},
 		{"list outside", "outside the tail", string(frame(clock1000ms, 3, "", paddedEvent("0b01 02 ffffffff ffffffff")))},
-		{"list number", "above 15", string(frame(clock1000ms, 3, "", paddedEvent("0b01 20")))},
+		{"list index", "above 15", string(frame(clock1000ms, 3, "", paddedEvent("0b01 20")))},
 		{"list state", "state 9", string(frame(clock1000ms, 3, "05000000020100030009000000400000000000408f40", paddedEvent("0b01 02 00000000 01000000")))},
-		{"list kind", "kind of list 4", string(frame(clock1000ms, 3, "", paddedEvent("0101 04000000 04")))},
-		{"outcome", "outcome 15", string(frame(clock1000ms, 3, "", paddedEvent("0401 04000000 11000000 01 05000000 0f00")))},
-		{"probe outcome", "outcome 0", string(frame(clock1000ms, 3, "", paddedEvent("0701 04000000")))},
+		{"list kind", "list kind 4", string(frame(clock1000ms, 3, "", paddedEvent("0101 04000000 04")))},
+		{"outcome", "status code 15", string(frame(clock1000ms, 3, "", paddedEvent("0401 04000000 11000000 01 05000000 0f00")))},
+		{"probe outcome", "status code 0", string(frame(clock1000ms, 3, "", paddedEvent("0701 04000000")))},
 	} {
 		var b Batch
 		err := b.ReadBatch(strings.NewReader(c.data))
@@ -150,19 +166,19 @@
 			err = b.DecodeEvent(i, new(Event))
 		}
 		if err == nil || !strings.Contains(err.Error(), c.want) || !strings.Contains(err.Error(), "batch") {
-			t.Errorf("%s: error %v, want one that names the batch and says %q", c.name, err, c.want)
+			t.Errorf("%s: got error %v, want one that contains \"batch\" and %q", c.name, err, c.want)
 		}
 	}
 	if err := new(Batch).ReadBatch(strings.NewReader("")); err != io.EOF {
-		t.Errorf("a clean end gave %v, want io.EOF", err)
+		t.Errorf("empty input: got error %v, want io.EOF", err)
 	}
 }
 
 func TestParseConfig(t *testing.T) {
-	cfg, ask, err := ParseConfig([]byte(`{"balancers": 3, "self_index": 2, "zone": 1, "news": {"a": [1]}, "discovery": "ask",
+	cfg, ask, err := ParseConfig([]byte(`{"balancers": 3, "self_index": 2, "zone": 1, "unknown": {"a": [1]}, "discovery": "ask",
 		"bounds": {"try_limit": 4, "second_copies": true, "max_retry_after_ms": 700},
 		"invariants": {"cold_ms": 9000, "tip_multiple": 2.5, "fall_ms": 1500, "cold_from": 0.3},
-		"report": {"fields": ["rif", "novel"]}, "weights": "rough", "specifics": {"use_period_ms": 250, "max_units": 4},
+		"report": {"fields": ["rif", "custom"]}, "weights": "rough", "specifics": {"use_period_ms": 250, "max_units": 4},
 		"request_classes": [{"aim_ms": 300, "give_up_ms": 900, "effect": "guarded", "dedup_scope": "cell", "window_ms": 50, "worth": 2}],
 		"tiers_of_service": [{"quota_rate": 1.5, "burst": 4, "hard_rate": 3, "hard_burst": 8, "tolerance": 1, "open": 2, "price": 3}]}`))
 	if err != nil {
@@ -174,13 +190,13 @@
 	if !ask || cfg.Gateways != 3 || cfg.Self != 2 || cfg.Zone != 1 || cfg.MaxAttempts != 4 || !cfg.Hedging ||
 		cfg.MaxRetryAfter != 700*time.Millisecond || cfg.WarmUpPeriod != 9*time.Second || cfg.ColdOverloadFactor != 2.5 ||
 		cfg.MeterPeriod != 250*time.Millisecond || !cfg.WeightsTrusted || cfg.ReportFields[0] != "inflight" ||
-		cfg.ReportFields[1] != "novel" || cfg.Classes[0] != class || cfg.Plans[0] != plan {
-		t.Errorf("settings read as %+v", cfg)
+		cfg.ReportFields[1] != "custom" || cfg.Classes[0] != class || cfg.Plans[0] != plan {
+		t.Errorf("settings decoded as %+v", cfg)
 	}
-	for _, bad := range []string{"", "{", `{"request_classes": [{"effect": "odd"}]}`,
-		`{"request_classes": [{"effect": "free", "dedup_scope": "odd"}]}`} {
+	for _, bad := range []string{"", "{", `{"request_classes": [{"effect": "unknown"}]}`,
+		`{"request_classes": [{"effect": "free", "dedup_scope": "unknown"}]}`} {
 		if _, _, err := ParseConfig([]byte(bad)); err == nil || !strings.Contains(err.Error(), "settings") {
-			t.Errorf("settings %q gave %v, want an error that says so", bad, err)
+			t.Errorf("settings %q: got error %v, want one that contains \"settings\"", bad, err)
 		}
 	}
 }
@@ -197,10 +213,10 @@
 		var e Event
 		for i := range b.Count {
 			if err := b.DecodeEvent(i, &e); err != nil && !strings.Contains(err.Error(), "batch") {
-				t.Fatalf("error %q does not name the batch", err)
+				t.Fatalf("error %q does not contain \"batch\"", err)
 			}
 			if e.Code == EventList && len(e.Backends)*backendEntrySize > len(data) {
-				t.Fatalf("%d backends out of %d bytes", len(e.Backends), len(data))
+				t.Fatalf("decoded %d backends from %d bytes", len(e.Backends), len(data))
 			}
 		}
 	})
