--- a/cmd/cedarseam/descriptors_test.go
+++ b/cmd/cedarseam/descriptors_test.go
@@ -13,12 +13,13 @@
 )
 
 const (
-	waitTimeout   = 10 * time.Second
-	pingCommand   = "*1\r\n$4\r\nPING\r\n"
+	waitTimeout = 10 * time.Second
+	pingCommand = "*1\r\n$4\r\nPING\r\n"
+	// requestFormat is an idempotent request; its argument is the request id.
 	requestFormat = "*4\r\n$5\r\nQ.ASK\r\n$16\r\n00000000b4d65521\r\n$16\r\n%016x\r\n$49\r\nc=lookup,t=basic,d=60000,units=1,spread=1,first=0\r\n"
 )
 
-// startListener accepts connections and hands each on, until the test ends.
+// startListener accepts connections until the test ends and sends each to connections.
 func startListener(t *testing.T) (addr string, connections chan net.Conn) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -54,9 +55,10 @@
 	return nc, bufio.NewReader(nc)
 }
 
-// Clients take all descriptors that they may while discovery is silent, and
-// backends theirs. When discovery is back, the program still reaches it, hears
-// of another backend, reaches that, and serves a client who comes then.
+// While discovery does not answer, connections of clients and backends use up all the file
+// descriptors that the program grants them. Enough descriptors must remain reserved that, once
+// discovery answers again, the program connects to it, receives the address of a new backend,
+// connects to that backend and forwards the request of a new client.
 func TestDescriptorReserveForDiscoveryAndBackends(t *testing.T) {
 	for _, sockets := range []int{40, 256} {
 		t.Run(fmt.Sprint(sockets), func(t *testing.T) {
@@ -66,7 +68,8 @@
 			oldBackendConns := make(chan net.Conn, 1000)
 			for i := range 8 {
 				addr, connections := startListener(t)
-				knownMembers = append(knownMembers, fmt.Sprintf(`{"id":"old%d","host_port":%q,"phase":"SERVING","size":1}`, i, addr))
+				knownMembers = append(knownMembers,
+					fmt.Sprintf(`{"id":"old%d","host_port":%q,"phase":"SERVING","size":1}`, i, addr))
 				go func() {
 					for {
 						select {
@@ -87,7 +90,7 @@
 			defer cancel()
 			p := startProgram(t, configuration, fmt.Sprint(socketLimitVariable, "=", sockets))
 
-			// Requests are held by the backends until no more is let out.
+			// The backends leave requests unanswered until the program forwards no more.
 			p.waitUntilServing()
 			var pendingConns []net.Conn
 			for id, admitting := 1, true; admitting; id++ {
@@ -101,22 +104,22 @@
 					pendingConns = append(pendingConns, nc)
 				case answer := <-reply:
 					if admitting = false; !strings.HasPrefix(answer, "-BUSY") {
-						t.Fatalf("request %d is answered %q", id, answer)
+						t.Fatalf("request %d: got answer %q, want -BUSY", id, answer)
 					}
 				case <-ctx.Done():
-					t.Fatalf("request %d gets nowhere", id)
+					t.Fatalf("request %d was neither forwarded nor answered", id)
 				}
 			}
 			if len(pendingConns) < 5 {
-				t.Fatalf("only %d requests are let out", len(pendingConns))
+				t.Fatalf("only %d requests were forwarded, want at least 5", len(pendingConns))
 			}
-			for range 2 * sockets { // the last of them wait in the listener's queue
+			for range 2 * sockets { // the last ones stay in the listen backlog
 				nc, _ := dial(t, p.addr)
 				io.WriteString(nc, pingCommand)
 			}
 
-			// Discovery is back: what it is asked from now on it answers. What the
-			// backends hold they still hold then.
+			// From now on discovery answers new requests. The backends' connections are still in
+			// use when it sends the list.
 			listSent := make(chan struct{}, 1000)
 			for len(discoveryConns) > 0 {
 				(<-discoveryConns).Close()
@@ -140,14 +143,14 @@
 			select {
 			case <-listSent:
 			case <-time.After(waitTimeout):
-				t.Fatal("discovery is not reached")
+				t.Fatal("program did not connect to discovery")
 			}
 			for _, nc := range pendingConns {
 				io.WriteString(nc, "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n")
 			}
 			for id, deadline := 1<<20, time.Now().Add(waitTimeout); ; id++ {
 				if time.Now().After(deadline) {
-					t.Fatal("no client is served by the backend that discovery has told")
+					t.Fatal("no request was forwarded to the new backend")
 				}
 				nc, in := dial(t, p.addr)
 				fmt.Fprintf(nc, requestFormat, id)
@@ -156,8 +159,8 @@
 				select {
 				case nc := <-newBackendConns:
 					t.Cleanup(func() { nc.Close() })
-					return // served as before
-				case <-reply: // the list is still the old one
+					return // the new backend received the request
+				case <-reply: // refused: the new list is not yet in use
 					nc.Close()
 				case nc := <-oldBackendConns:
 					t.Cleanup(func() { nc.Close() })
--- a/cmd/cedarseam/main.go
+++ b/cmd/cedarseam/main.go
@@ -1,6 +1,6 @@
-// Command cedarseam is one ingress: it takes requests of clients over RESP,
-// decides with package choice and passes them on to backends. It is configured
-// by the file that NODE_CONFIG names.
+// Command cedarseam runs one ingress. It accepts client requests over RESP, applies the decisions
+// of package choice and forwards the requests to backends. The environment variable NODE_CONFIG
+// names its configuration file.
 package main
 
 import (
@@ -18,10 +18,10 @@
 )
 
 const (
-	// logModeVariable names the environment's word on the log: with "detailed" it
-	// tells of every request, attempt and connection from the start on.
+	// logModeVariable is an environment variable. With the value "detailed" the program logs every
+	// request, attempt and connection from its start.
 	logModeVariable = "CEDARSEAM_LOG"
-	logFlushTimeout = 100 * time.Millisecond // for the last lines to be written at the end
+	logFlushTimeout = 100 * time.Millisecond // limits the wait for the last log lines before exit
 )
 
 func main() {
@@ -37,9 +37,9 @@
 }
 
 func run(log *eventlog.Log) error {
-	// Taken from the first moment on: by default these signals end the process.
+	// Signals are handled before the configuration is read: by default they end the process.
 	ctx := terminationContext()
-	signal.Ignore(syscall.SIGPIPE) // a log that nobody reads must not end the process either
+	signal.Ignore(syscall.SIGPIPE) // a closed log pipe must not end the process
 	reloadSignals := make(chan os.Signal, 1)
 	signal.Notify(reloadSignals, syscall.SIGHUP)
 	cfg, err := ingress.LoadConfig(os.Getenv)
@@ -47,7 +47,7 @@
 		return err
 	}
 	if ctx.Err() != nil {
-		return nil // no client was let in
+		return nil // stopped before any client was accepted
 	}
 	cfg.Limits.Apply()
 	cfg.Log = log
@@ -59,9 +59,9 @@
 	go func() {
 		for range reloadSignals {
 			if reloaded, err := ingress.ReloadConfig(os.Getenv); err != nil {
-				slog.Error("the configuration stays as it was", "error", err)
+				slog.Error("configuration reload failed, keeping the previous configuration", "error", err)
 			} else {
-				slog.Info("configuration read again", "discovery", reloaded.Discovery)
+				slog.Info("configuration reloaded", "discovery", reloaded.Discovery)
 				server.Reload(reloaded)
 			}
 		}
@@ -69,8 +69,9 @@
 	return server.Serve(ctx)
 }
 
-// terminationContext returns a context that ends with SIGTERM or SIGINT. Its cause
-// tells when the signal came: the time until the kill counts from then.
+// terminationContext returns a context that is cancelled by SIGTERM or SIGINT. Its cause is a
+// shutdown.RequestedError with the time of the signal, from which the time until the process may
+// be killed counts.
 func terminationContext() context.Context {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
--- a/cmd/cedarseam/process_test.go
+++ b/cmd/cedarseam/process_test.go
@@ -15,24 +15,24 @@
 	"time"
 )
 
-// program is the ingress as a process of its own.
+// program is an ingress that runs as a child process.
 type program struct {
 	*testing.T
 	command    *exec.Cmd
-	configPath string // of its configuration
-	stderr     io.Closer
-	addr       string // where it serves clients
-	exited     chan struct{}
-	err        error // valid once ended is closed
+	configPath string
+	stderr     io.Closer     // read end of the pipe that is its standard error
+	addr       string        // address for clients
+	exited     chan struct{} // closed once the process has exited
+	err        error         // result of the process; valid once exited is closed
 
 	mu        sync.Mutex
 	logLines  []string
-	scanned   int           // lines that logged has looked at
-	lineAdded chan struct{} // closed with the next line
+	scanned   int           // number of lines that waitForLogLine has examined
+	lineAdded chan struct{} // closed when the next line is added
 }
 
-// startProgram runs the program with a configuration, and variables of the environment
-// besides, until the end of the test, and waits until it listens.
+// startProgram starts the program with a configuration and additional environment variables, and
+// waits until it listens. The program is killed at the end of the test.
 func startProgram(t *testing.T, configuration string, variables ...string) *program {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
@@ -42,14 +42,19 @@
 	return p
 }
 
-// launchProgram runs the program with the configuration in a file, and variables of the
-// environment besides, until the end of the test.
+// launchProgram starts the program with a configuration file and additional environment
+// variables. The program is killed at the end of the test, and its log is printed if the test
+// failed.
 func launchProgram(t *testing.T, configPath string, variables ...string) *program {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
-	p := &program{T: t, command: exec.CommandContext(ctx, os.Args[0]), configPath: configPath, exited: make(chan struct{}), lineAdded: make(chan struct{})}
-	// The race detector would hold the end of the process up for a second.
-	p.command.Env = append(os.Environ(), runMainVariable+"=1", "NODE_CONFIG="+configPath, "GORACE=atexit_sleep_ms=0")
+	p := &program{
+		T: t, command: exec.CommandContext(ctx, os.Args[0]), configPath: configPath,
+		exited: make(chan struct{}), lineAdded: make(chan struct{}),
+	}
+	// By default the race detector delays the exit of the process by one second.
+	p.command.Env = append(os.Environ(),
+		runMainVariable+"=1", "NODE_CONFIG="+configPath, "GORACE=atexit_sleep_ms=0")
 	p.command.Env = append(p.command.Env, variables...)
 	stderr, err := p.command.StderrPipe()
 	if err != nil {
@@ -70,20 +75,21 @@
 	return p
 }
 
-// expectCleanExit waits until the program has ended, and wants that to go well.
+// expectCleanExit waits until the program has exited and fails the test if it exited with an
+// error.
 func (p *program) expectCleanExit() {
 	p.Helper()
 	select {
 	case <-p.exited:
 	case <-time.After(waitTimeout):
-		p.Fatal("it does not end")
+		p.Fatal("program did not exit in time")
 	}
 	if p.err != nil {
-		p.Errorf("it ends with %v", p.err)
+		p.Errorf("program exited with %v, want exit code 0", p.err)
 	}
 }
 
-// readLog gathers the log until the program has ended.
+// readLog collects the log lines until the program has exited.
 func (p *program) readLog(stderr io.Reader) {
 	for scanner := bufio.NewScanner(stderr); scanner.Scan(); {
 		p.mu.Lock()
@@ -96,8 +102,8 @@
 	close(p.exited)
 }
 
-// waitForLogLine waits until the log has a further line with all these words, and returns
-// it. A line before it counts no more.
+// waitForLogLine waits for a log line that contains all substrings, and returns it. Each call
+// continues after the line that the previous call returned.
 func (p *program) waitForLogLine(substrings ...string) string {
 	p.Helper()
 	timeout := time.After(waitTimeout)
@@ -114,7 +120,7 @@
 		select {
 		case <-lineAdded:
 		case <-timeout:
-			p.Fatalf("the log never says %q", substrings)
+			p.Fatalf("no log line contains all of %q", substrings)
 		}
 	}
 }
@@ -135,7 +141,7 @@
 	}
 }
 
-// waitUntilServing waits until the program lets clients in.
+// waitUntilServing waits until the program answers PING with PONG.
 func (p *program) waitUntilServing() {
 	p.Helper()
 	nc, in := dial(p.T, p.addr)
@@ -149,8 +155,9 @@
 	}
 }
 
-// hangingBackend takes requests and never answers one.
-func hangingBackend(t *testing.T) (addr string, requests chan string) {
+// unresponsiveBackend starts a backend that accepts requests and never answers. What it receives is
+// sent to requests.
+func unresponsiveBackend(t *testing.T) (addr string, requests chan string) {
 	addr, connections := startListener(t)
 	requests = make(chan string, 1000)
 	go func() {
@@ -167,7 +174,7 @@
 	return addr, requests
 }
 
-// forwardReads hands on what comes on a connection, until it ends.
+// forwardReads sends the data read from a connection to requests until the connection is closed.
 func forwardReads(nc net.Conn, requests chan<- string) {
 	buf := make([]byte, 64<<10)
 	for {
@@ -179,7 +186,7 @@
 	}
 }
 
-// encodeCommand is a command of a client.
+// encodeCommand encodes a client command in RESP.
 func encodeCommand(args ...string) string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "*%d\r\n", len(args))
--- a/cmd/cedarseam/shutdown_test.go
+++ b/cmd/cedarseam/shutdown_test.go
@@ -19,14 +19,15 @@
 )
 
 const (
-	// killGrace is how long after the longest deadline SIGKILL may follow SIGTERM.
+	// killGrace is the time between the longest deadline of a request and SIGKILL: SIGKILL may
+	// follow SIGTERM after the longest deadline plus this time.
 	killGrace = 700 * time.Millisecond
-	// lateRequestDelay is when a request comes that counts as taken late: beyond the time
-	// for which the kill allows, and with a client that waits beyond the kill.
+	// lateRequestDelay is the time from SIGTERM to a late request. It is longer than killGrace, so
+	// that a client that waits for almost longestDeadline (1.9 s) waits beyond SIGKILL.
 	lateRequestDelay = 1000 * time.Millisecond
 	longestDeadline  = 2 * time.Second
 
-	// signalDelay is how late the program may notice the signal.
+	// signalDelay is how long the program may take to notice the signal.
 	signalDelay = 50 * time.Millisecond
 
 	shutdownConfigFormat = `{"name":"n0","listen":"127.0.0.1:0","discovery":%[1]q,"seed":"1",
@@ -40,8 +41,8 @@
   "tiers_of_service":[{"name":"basic","quota_rate":1000,"burst":1000,"price":1}]}}`
 )
 
-// newShutdownConfig is one of a program before these backends, whose requests
-// have a deadline.
+// newShutdownConfig returns a configuration with these backends, in which all request classes
+// have the given deadline.
 func newShutdownConfig(discovery string, deadline time.Duration, backends ...string) string {
 	var members []string
 	for i, addr := range backends {
@@ -51,19 +52,20 @@
 		(deadline / 3).Milliseconds(), deadline.Milliseconds())
 }
 
-// paymentCommand is a request that must not run twice, whose client waits for so many milliseconds.
+// paymentCommand returns a request that must not run twice and whose client waits for
+// timeoutMillis.
 func paymentCommand(id, timeoutMillis int) string {
 	return encodeCommand("Q.DO", "00000000b4d65521", fmt.Sprintf("%016x", id),
 		fmt.Sprintf("c=payment,t=basic,d=%d,units=1,spread=1,first=0", timeoutMillis), "BODY")
 }
 
-// response is what a client got for a request, or the error that ended its connection.
+// response is the first line of an answer to a client, or the error that ended its connection.
 type response struct {
 	line string
 	err  error
 }
 
-// readResponse reads one answer beside the test.
+// readResponse reads one line in the background.
 func readResponse(in *bufio.Reader) chan response {
 	result := make(chan response, 1)
 	go func() {
@@ -73,23 +75,24 @@
 	return result
 }
 
-// isConnectionClosed tells that the other side has closed the connection.
+// isConnectionClosed reports whether err means that the connection was closed.
 func isConnectionClosed(err error) bool {
 	return errors.Is(err, io.EOF) || errors.Is(err, syscall.ECONNRESET) || errors.Is(err, net.ErrClosed)
 }
 
-// What is read after SIGTERM is answered before the process may be killed, also
-// when it is the first command on a connection that was accepted late and the
-// backend hangs through the whole shutdown.
+// A request that is read after SIGTERM must be answered before the process may be killed. The
+// hardest case is the first command on a connection that was accepted after SIGTERM, with a
+// backend that does not answer during the whole shutdown. The program may close the connection
+// without an answer only if it has not forwarded the request.
 func TestLateRequestAnsweredBeforeKill(t *testing.T) {
-	backend, requests := hangingBackend(t)
+	backend, requests := unresponsiveBackend(t)
 	discovery, _ := startListener(t)
 	p := startProgram(t, newShutdownConfig(discovery, longestDeadline, backend))
 	p.waitUntilServing()
 	p.sendSignal(syscall.SIGTERM)
 	sendTime, killTime := time.After(lateRequestDelay), time.After(longestDeadline+killGrace)
 	p.waitForLogLine("state=draining")
-	lateConn, in := dial(t, p.addr) // clients still come for a while after SIGTERM
+	lateConn, in := dial(t, p.addr) // new connections are accepted for a short time after SIGTERM
 	p.waitForLogLine(`state="taking no further command on used connections"`)
 	<-sendTime
 	if _, err := io.WriteString(lateConn, paymentCommand(1, 1900)); err != nil {
@@ -98,32 +101,33 @@
 	select {
 	case got := <-readResponse(in):
 		if got.err != nil && len(requests) > 0 {
-			t.Errorf("a request that was forwarded ends with %q, %v", got.line, got.err)
+			t.Errorf("forwarded request: got response %q and error %v, want an answer", got.line, got.err)
 		}
 		if got.err != nil && !isConnectionClosed(got.err) {
-			t.Errorf("the connection ends with %v", got.err)
+			t.Errorf("connection ended with %v, want an answer or a closed connection", got.err)
 		}
 	case <-killTime:
 		p.sendSignal(os.Kill)
-		t.Errorf("the request has no answer when the process may be killed; %d attempts were forwarded", len(requests))
+		t.Errorf("request not answered before SIGKILL; %d attempts were forwarded", len(requests))
 	}
 }
 
-// receivedRequest is one that came to a backend: its id and the time it was told.
+// receivedRequest is a request that a backend received.
 type receivedRequest struct {
 	requestID  string
 	receivedAt time.Time
-	deadline   time.Time // by when its answer is waited for
+	deadline   time.Time // receivedAt plus the timeout in the request
 }
 
-// fixedReplyBackend answers requests with the text that reply returns, if any, and
-// keeps what it has seen.
+// fixedReplyBackend is a backend that answers each request with the same text, which may be empty
+// or incomplete, and records the requests that it received.
 type fixedReplyBackend struct {
 	addr     string
 	mu       sync.Mutex
 	received []receivedRequest
 }
 
+// forwardedRequestPattern matches a request to a backend: its id and its timeout in milliseconds.
 var forwardedRequestPattern = regexp.MustCompile(`\r\n([0-9a-f]{16})\r\n\$\d+\r\nc=\w+,t=basic,d=(\d+),`)
 
 func newFixedReplyBackend(t *testing.T, reply string) *fixedReplyBackend {
@@ -157,19 +161,21 @@
 		}
 		timeoutMillis, _ := strconv.Atoi(string(match[2]))
 		b.mu.Lock()
-		b.received = append(b.received, receivedRequest{string(match[1]), now, now.Add(time.Duration(timeoutMillis) * time.Millisecond)})
+		b.received = append(b.received, receivedRequest{
+			string(match[1]), now, now.Add(time.Duration(timeoutMillis) * time.Millisecond),
+		})
 		b.mu.Unlock()
 		io.WriteString(nc, reply)
 	}
 }
 
-// testClient is a client that sends request after request, on a connection for as
-// long as that stays open, and then on another.
+// testClient sends one request after another. It reconnects when its connection is closed.
 type testClient struct {
-	answered map[string]bool
+	answered map[string]bool // ids of the requests that were answered
 }
 
-// sendRequests goes on until the program takes no further connection, or the time is up.
+// sendRequests sends requests until the program accepts no connection or the time until has
+// come. The request ids count up from first+1.
 func (c *testClient) sendRequests(addr string, first int, timeout time.Duration, until time.Time) {
 	for id := first; time.Now().Before(until); {
 		nc, err := net.Dial("tcp", addr)
@@ -188,7 +194,7 @@
 	}
 }
 
-// readAnswer waits for a whole answer.
+// readAnswer reads one complete answer and records the request as answered.
 func (c *testClient) readAnswer(in *bufio.Reader, id int) error {
 	line, err := in.ReadString('\n')
 	if err == nil && strings.HasPrefix(line, "$") {
@@ -200,9 +206,9 @@
 	return err
 }
 
-// Whatever clients do while the program stops, long or short their deadlines:
-// it ends before it may be killed, all that it has read is answered, and no
-// backend is told more time than is left.
+// While clients of all kinds are connected, with short and long deadlines, the program must exit
+// before SIGKILL, answer every request that it has read, and send no backend a timeout that ends
+// after SIGKILL.
 func TestShutdownAnswersAllRequestsBeforeKill(t *testing.T) {
 	for _, deadline := range []time.Duration{300 * time.Millisecond, longestDeadline, 15 * time.Second} {
 		t.Run(deadline.String(), func(t *testing.T) {
@@ -212,11 +218,13 @@
 	}
 }
 
-// suspension is how long a process may be held up between reading its clock and writing.
-const suspension = 150 * time.Millisecond
+// suspensionTime is how long the operating system may suspend the process between reading its clock
+// and writing.
+const suspensionTime = 150 * time.Millisecond
 
-// The same holds for a program that is held up shortly before the kill: while the
-// last requests are answered, or while the last commands are read.
+// The guarantees of a shutdown must also hold if the process is suspended shortly before SIGKILL:
+// while the last requests are answered (430 ms before), or while the last commands are read
+// (350 ms before).
 func TestSuspendedShutdownEndsBeforeKill(t *testing.T) {
 	for _, before := range []time.Duration{430 * time.Millisecond, 350 * time.Millisecond} {
 		t.Run(before.String(), func(t *testing.T) {
@@ -224,19 +232,24 @@
 			checkShutdown(t, longestDeadline, func(p *program) {
 				time.AfterFunc(longestDeadline+killGrace-before, func() {
 					p.command.Process.Signal(syscall.SIGSTOP)
-					time.AfterFunc(suspension, func() { p.command.Process.Signal(syscall.SIGCONT) })
+					time.AfterFunc(suspensionTime, func() { p.command.Process.Signal(syscall.SIGCONT) })
 				})
 			})
 		})
 	}
 }
 
-// checkShutdown stops a program amid all kinds of clients. trouble is called
-// with the signal.
+// checkShutdown stops a program that serves active clients, an idle connection and a connection
+// with an incomplete command. afterSignal is called directly after SIGTERM was sent.
 func checkShutdown(t *testing.T, deadline time.Duration, afterSignal func(*program)) {
-	backends := []*fixedReplyBackend{newFixedReplyBackend(t, ""), newFixedReplyBackend(t, "*3\r\n$5\r\nva"), newFixedReplyBackend(t, "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n")}
+	backends := []*fixedReplyBackend{
+		newFixedReplyBackend(t, ""),                                // no reply
+		newFixedReplyBackend(t, "*3\r\n$5\r\nva"),                  // an incomplete reply
+		newFixedReplyBackend(t, "*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n"), // a complete reply
+	}
 	discovery, _ := startListener(t)
-	p := startProgram(t, newShutdownConfig(discovery, deadline, backends[0].addr, backends[1].addr, backends[2].addr))
+	p := startProgram(t, newShutdownConfig(discovery, deadline,
+		backends[0].addr, backends[1].addr, backends[2].addr))
 	p.waitUntilServing()
 	killDelay := min(deadline, 3*time.Second) + killGrace
 
@@ -251,7 +264,7 @@
 		clients = append(clients, client)
 		group.Go(func() { client.sendRequests(p.addr, (i+1)<<20, deadline, until) })
 	}
-	for activeBackends := 0; activeBackends < 3; { // all are at work
+	for activeBackends := 0; activeBackends < 3; { // until each has received a request
 		activeBackends = 0
 		for _, b := range backends {
 			b.mu.Lock()
@@ -266,17 +279,18 @@
 	case <-p.exited:
 	case <-time.After(killDelay):
 		p.sendSignal(os.Kill)
-		t.Fatalf("it has not ended %v after SIGTERM", killDelay)
+		t.Fatalf("program did not exit within %v after SIGTERM", killDelay)
 	}
 	if p.err != nil {
-		t.Errorf("it ends with %v", p.err)
+		t.Errorf("program exited with %v, want exit code 0", p.err)
 	}
 	group.Wait()
-	if text, err := io.ReadAll(idleConn); err != nil && !isConnectionClosed(err) || len(text) > 0 && text[0] != '-' {
-		t.Errorf("a connection that says nothing gets %q, %v; want an error line or the end", text, err)
+	if text, err := io.ReadAll(idleConn); err != nil && !isConnectionClosed(err) ||
+		len(text) > 0 && text[0] != '-' {
+		t.Errorf("idle connection got %q, %v; want an error line or a closed connection", text, err)
 	}
 	if line, err := partialReader.ReadString('\n'); err != nil || line[0] != '-' {
-		t.Errorf("half a command is answered %q, %v; want an error line", line, err)
+		t.Errorf("incomplete command got %q, %v; want an error line", line, err)
 	}
 	answered := map[string]bool{}
 	for _, client := range clients {
@@ -285,32 +299,36 @@
 	for _, b := range backends {
 		for _, request := range b.received {
 			if !answered[request.requestID] {
-				t.Errorf("request %s was forwarded %v after SIGTERM and has no answer", request.requestID, request.receivedAt.Sub(signalledAt))
+				t.Errorf("request %s was forwarded %v after SIGTERM and not answered",
+					request.requestID, request.receivedAt.Sub(signalledAt))
 			}
-			if request.receivedAt.After(signalledAt.Add(signalDelay)) && request.deadline.After(signalledAt.Add(killDelay)) {
-				t.Errorf("request %s was forwarded %v after SIGTERM and is told to last until %v", request.requestID,
-					request.receivedAt.Sub(signalledAt), request.deadline.Sub(signalledAt))
+			if request.receivedAt.After(signalledAt.Add(signalDelay)) &&
+				request.deadline.After(signalledAt.Add(killDelay)) {
+				t.Errorf("request %s was forwarded %v after SIGTERM with a deadline at %v, after SIGKILL",
+					request.requestID, request.receivedAt.Sub(signalledAt), request.deadline.Sub(signalledAt))
 			}
 		}
 	}
 	for _, line := range p.logLines {
 		if match := requestTakenPattern.FindStringSubmatch(line); match != nil && !answered[match[1]] {
-			t.Errorf("request %s was read and has no answer", match[1])
+			t.Errorf("request %s was read and not answered", match[1])
 		}
 	}
 }
 
+// requestTakenPattern matches the log line of a request that was read: its id.
 var requestTakenPattern = regexp.MustCompile(`request taken" request=([0-9a-f]{16})`)
 
-// A signal that comes while the configuration is read is not missed: no client is
-// let in for longer than the kill allows.
+// SIGTERM must not be lost while the program reads its configuration at the start: otherwise it
+// would accept clients and serve them beyond the time at which it may be killed. The
+// configuration file is a named pipe, so that the program blocks while reading it.
 func TestTerminationDuringStartup(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	if err := syscall.Mkfifo(path, 0o600); err != nil {
 		t.Fatal(err)
 	}
 	p := launchProgram(t, path)
-	file, err := os.OpenFile(path, os.O_WRONLY, 0) // returns once the program reads it
+	file, err := os.OpenFile(path, os.O_WRONLY, 0) // blocks until the program opens it for reading
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -323,10 +341,10 @@
 	p.expectCleanExit()
 }
 
-// A log whose reader has gone does not end the program, in a shutdown least of
-// all: what was read is answered.
+// A closed log pipe must not end the program (by default SIGPIPE would), in particular not during
+// a shutdown: requests that were read must still be answered.
 func TestClosedLogReaderDoesNotStopProgram(t *testing.T) {
-	backend, requests := hangingBackend(t)
+	backend, requests := unresponsiveBackend(t)
 	discovery, _ := startListener(t)
 	p := startProgram(t, newShutdownConfig(discovery, longestDeadline, backend))
 	p.waitUntilServing()
@@ -338,11 +356,11 @@
 	select {
 	case <-requests:
 	case <-time.After(waitTimeout):
-		t.Fatal("the request is not forwarded")
+		t.Fatal("request was not forwarded to the backend")
 	}
-	p.sendSignal(syscall.SIGTERM) // from here on the log tells of each request
+	p.sendSignal(syscall.SIGTERM) // from here on every request is logged
 	if got := <-readResponse(in); got.line != "-ERR failed\r\n" {
-		t.Errorf("the request is answered %q, %v", got.line, got.err)
+		t.Errorf("got response %q, error %v; want \"-ERR failed\"", got.line, got.err)
 	}
 	p.expectCleanExit()
 }
