--- a/internal/ingress/client.go
+++ b/internal/ingress/client.go
@@ -103,7 +103,7 @@
 // newClient returns the client of an accepted connection, which serve then runs.
 func newClient(s *Server, nc net.Conn) *client {
 	now := time.Now()
-	return &client{server: s, id: s.lastClient.Add(1), nc: nc, opened: now, lastActive: now,
+	return &client{server: s, id: s.lastClientID.Add(1), nc: nc, opened: now, lastActive: now,
 		writerWake: make(chan struct{}, 1), slotFreed: make(chan struct{}, 1), writerDone: make(chan struct{})}
 }
 
@@ -135,9 +135,9 @@
 func (c *client) evictionRank(now time.Time) (rank evictionRank, evictable bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	minIdle := silentLeast
+	minIdle := minIdleUnused
 	if c.sentRequest {
-		minIdle = idleLeast
+		minIdle = minIdleUsed
 	}
 	return evictionRank{c.sentRequest, c.lastActive},
 		len(c.pending) == 0 && !c.sending && !c.closing && !c.draining && !c.evicted &&
@@ -188,7 +188,7 @@
 	c.evicted = false
 	c.mu.Unlock()
 	if evictionCancelled {
-		c.server.stays()
+		c.server.cancelEviction()
 	}
 }
 
@@ -215,7 +215,7 @@
 	switch {
 	case errors.Is(err, errClientDisconnected):
 	case errors.Is(err, errIncompleteCommand):
-		c.reply(c.server.busy())
+		c.reply(c.server.busyReply())
 		c.flushAndLinger()
 	case errors.Is(err, errServerClose):
 		c.flushAndLinger()
@@ -229,8 +229,8 @@
 	c.closed = true
 	c.mu.Unlock()
 	notify(c.writerWake)
-	c.server.loop.post(func(l *loop) { l.gone(c) })
-	c.server.remove(c)
+	c.server.loop.post(func(l *loop) { l.handleDisconnect(c) })
+	c.server.removeClient(c)
 }
 
 // input holds the bytes that the reader has read and not yet parsed into commands.
@@ -446,16 +446,16 @@
 	if !budget.reserve(size) {
 		// The request has not been started, so the client may retry it. Holding
 		// more requests could run the process out of memory.
-		c.reply(c.server.busy())
+		c.reply(c.server.busyReply())
 		return nil
 	}
 	cmd.args = copyArgs(args, size)
 	timeLimit := min(cmd.timeLimit, c.server.cfg.Choice.Classes[cmd.class].Deadline)
-	r := &request{command: cmd, size: size, from: c,
-		deadline: arrivedAt.Add(timeLimit - min(answerMargin, timeLimit/marginPart))}
+	r := &request{command: cmd, size: size, client: c,
+		deadline: arrivedAt.Add(timeLimit - min(maxDeadlineMargin, timeLimit/deadlineMarginDivisor))}
 	r.slot = &slot{request: r}
 	c.push(r.slot)
-	c.server.loop.post(func(l *loop) { l.request(r) })
+	c.server.loop.post(func(l *loop) { l.startRequest(r) })
 	return nil
 }
 
--- a/internal/ingress/client_test.go
+++ b/internal/ingress/client_test.go
@@ -15,11 +15,11 @@
 )
 
 func TestRequestIsForwardedUnchangedExceptTimeLimit(t *testing.T) {
-	b := newBackend(t)
+	b := newFakeBackend(t)
 	r := newRig(t, nil, b.member("b"))
 	c := r.dial()
-	c.send("q.do", anyone, someID, "k=abc,"+payment+",r=1", "BODY")
-	got := wait(t, "the request", b.got)
+	c.send("q.do", testCustomer, testRequestID, "k=abc,"+paymentOptions+",r=1", "BODY")
+	got := wait(t, "the request", b.commands)
 	var limit int
 	if _, err := fmt.Sscanf(got.args[3], "k=abc,c=payment,t=basic,d=%d,units=1,spread=1,first=0,r=1", &limit); err != nil {
 		t.Errorf("options %q: %v", got.args[3], err)
@@ -28,50 +28,50 @@
 		t.Errorf("the backend is told %d ms, want less than the client's 20000", limit)
 	}
 	got.args[3] = ""
-	if want := fmt.Sprint([]string{"q.do", anyone, someID, "", "BODY"}); fmt.Sprint(got.args) != want {
+	if want := fmt.Sprint([]string{"q.do", testCustomer, testRequestID, "", "BODY"}); fmt.Sprint(got.args) != want {
 		t.Errorf("the backend got %v, want %s", got.args, want)
 	}
-	got.answer("done")
-	c.want("$4\r\ndone")
+	got.replyValue("done")
+	c.wantLine("$4\r\ndone")
 }
 
 func TestPipelinedCommandsRunConcurrentlyAndAnswerInOrder(t *testing.T) {
-	b := newBackend(t)
+	b := newFakeBackend(t)
 	r := newRig(t, nil, b.member("b"))
 	c := r.dial()
-	c.write(encode("Q.ASK", anyone, "0000000000000001", lookup) +
-		encode("Q.ASK", anyone, "0000000000000002", lookup) + encode("PING"))
-	one, two := wait(t, "a request", b.got), wait(t, "the request after it", b.got)
+	c.write(encode("Q.ASK", testCustomer, "0000000000000001", lookupOptions) +
+		encode("Q.ASK", testCustomer, "0000000000000002", lookupOptions) + encode("PING"))
+	one, two := wait(t, "a request", b.commands), wait(t, "the request after it", b.commands)
 	if one.args[2] > two.args[2] {
 		one, two = two, one
 	}
-	two.answer("second")
-	one.answer("first")
-	c.want("$5\r\nfirst")
-	c.want("$6\r\nsecond")
-	c.want("+PONG")
+	two.replyValue("second")
+	one.replyValue("first")
+	c.wantLine("$5\r\nfirst")
+	c.wantLine("$6\r\nsecond")
+	c.wantLine("+PONG")
 }
 
 func TestInvalidCommandsAreRejectedAndNotForwarded(t *testing.T) {
-	b := newBackend(t)
+	b := newFakeBackend(t)
 	r := newRig(t, nil, b.member("b"))
 	ask := func(from, to string) []string {
-		if !strings.Contains(lookup, from) {
+		if !strings.Contains(lookupOptions, from) {
 			t.Fatalf("%q is not in the options", from)
 		}
-		return []string{"Q.ASK", anyone, someID, strings.Replace(lookup, from, to, 1)}
+		return []string{"Q.ASK", testCustomer, testRequestID, strings.Replace(lookupOptions, from, to, 1)}
 	}
 	for _, words := range [][]string{
 		{"GET", "x"},
 		{"Q.ASK"},
-		{"Q.ASK", anyone, someID, lookup, "BODY"},
-		{"Q.ASK", anyone, lookup},
-		{"Q.DO", anyone, someID, payment},
-		{"Q.ASK", "00000000b4d6552", someID, lookup},
-		{"Q.ASK", "00000000b4d6552x", someID, lookup},
-		{"Q.ASK", "ffffffffffffffff", someID, lookup},
-		{"Q.ASK", anyone, "", lookup},
-		{"Q.ASK", anyone, "+b1f03aa5c7e2d41", lookup},
+		{"Q.ASK", testCustomer, testRequestID, lookupOptions, "BODY"},
+		{"Q.ASK", testCustomer, lookupOptions},
+		{"Q.DO", testCustomer, testRequestID, paymentOptions},
+		{"Q.ASK", "00000000b4d6552", testRequestID, lookupOptions},
+		{"Q.ASK", "00000000b4d6552x", testRequestID, lookupOptions},
+		{"Q.ASK", "ffffffffffffffff", testRequestID, lookupOptions},
+		{"Q.ASK", testCustomer, "", lookupOptions},
+		{"Q.ASK", testCustomer, "+b1f03aa5c7e2d41", lookupOptions},
 		ask("lookup", "order"), ask("basic", "team"),
 		ask("d=20000", "d=NaN"), ask("d=20000", "d=1e4"), ask("d=20000", "d=0"),
 		ask("d=20000", "d=-5"), ask("d=20000", "d="),
@@ -84,24 +84,24 @@
 		ask(",first=0", ""),
 		ask("first=0", "first=0,r=2"), ask("first=0", "first=0,r=x"), ask("first=0", "first=0,r="),
 		ask("first=0", "first=0,units=1"), ask("first=0", "first=0,c=lookup"), ask("first=0", "first=0,d=5"),
-		{"Q.ASK", anyone, someID, "c=lookup,t=basic"},
-		{"Q.ASK", anyone, someID, "c=lookup,,"},
-		{"Q.ASK", anyone, someID, ""},
-		{"Q.ASK", anyone, someID, payment},
-		{"Q.DO", anyone, someID, lookup, "BODY"},
+		{"Q.ASK", testCustomer, testRequestID, "c=lookup,t=basic"},
+		{"Q.ASK", testCustomer, testRequestID, "c=lookup,,"},
+		{"Q.ASK", testCustomer, testRequestID, ""},
+		{"Q.ASK", testCustomer, testRequestID, paymentOptions},
+		{"Q.DO", testCustomer, testRequestID, lookupOptions, "BODY"},
 	} {
 		c := r.dial()
 		c.send(words...)
-		if got := c.line(); !strings.HasPrefix(got, "-ERR ") {
+		if got := c.readLine(); !strings.HasPrefix(got, "-ERR ") {
 			t.Errorf("%.80q is answered %q, want -ERR", words, got)
 		}
 		c.send("PING") // the connection is still served
-		c.want("+PONG")
+		c.wantLine("+PONG")
 		c.nc.Close()
 	}
-	idle(t, "a forwarded request", b.got)
-	r.ask(func(l *loop) {
-		if len(l.requests) > 0 || l.lastID > 0 {
+	wantNone(t, "a forwarded request", b.commands)
+	r.runOnLoop(func(l *loop) {
+		if len(l.requests) > 0 || l.lastRequestID > 0 {
 			t.Error("an invalid request reached the gateway")
 		}
 	})
@@ -110,11 +110,11 @@
 // A client that sends invalid commands as fast as they are rejected must not take the
 // CPU from other clients.
 func TestConnectionClosesAfterTooManyInvalidCommands(t *testing.T) {
-	r := newRig(t, nil, newBackend(t).member("b"))
+	r := newRig(t, nil, newFakeBackend(t).member("b"))
 	c := r.dial()
 	c.write(strings.Repeat(encode("GET", "x"), 1000))
 	for n := 1; ; n++ {
-		got := c.line()
+		got := c.readLine()
 		if !strings.HasPrefix(got, "-ERR ") || n > maxInvalidCommands {
 			t.Fatalf("answer %d is %q", n, got)
 		}
@@ -130,26 +130,26 @@
 // Clients choose a new request id for every retry. A second request with the id of an
 // open one comes from somebody else, who must not receive the value of the first.
 func TestDuplicateRequestIDIsRejected(t *testing.T) {
-	b := newBackend(t)
+	b := newFakeBackend(t)
 	r := newRig(t, nil, b.member("b"))
 	c, other := r.dial(), r.dial()
-	c.send("Q.ASK", anyone, someID, lookup)
-	got := wait(t, "the request", b.got)
-	other.send("Q.ASK", anyone, someID, lookup)
-	if got := other.line(); !strings.HasPrefix(got, "-ERR ") {
+	c.send("Q.ASK", testCustomer, testRequestID, lookupOptions)
+	got := wait(t, "the request", b.commands)
+	other.send("Q.ASK", testCustomer, testRequestID, lookupOptions)
+	if got := other.readLine(); !strings.HasPrefix(got, "-ERR ") {
 		t.Errorf("the duplicate is answered %q, want -ERR", got)
 	}
-	got.answer("v")
-	c.want("$1\r\nv")
-	other.send("Q.ASK", anyone, someID, lookup) // shortly after the first has ended
-	if got := other.line(); !strings.HasPrefix(got, "-ERR ") {
+	got.replyValue("v")
+	c.wantLine("$1\r\nv")
+	other.send("Q.ASK", testCustomer, testRequestID, lookupOptions) // shortly after the first has ended
+	if got := other.readLine(); !strings.HasPrefix(got, "-ERR ") {
 		t.Errorf("the late duplicate is answered %q, want -ERR", got)
 	}
-	idle(t, "a forwarded duplicate", b.got)
+	wantNone(t, "a forwarded duplicate", b.commands)
 }
 
 func TestRecentIDsExpire(t *testing.T) {
-	r := recentIDs{span: 10}
+	r := recentIDs{retention: 10}
 	for _, step := range []struct {
 		at   time.Duration
 		id   uint64
@@ -159,7 +159,7 @@
 			t.Errorf("id %d at %d: new is %v, want %v", step.id, step.at, got, step.want)
 		}
 	}
-	if n := len(r.young) + len(r.older); n > 3 {
+	if n := len(r.current) + len(r.previous); n > 3 {
 		t.Errorf("%d ids are kept, want 3 at most", n)
 	}
 	r.remove(3)
@@ -171,31 +171,31 @@
 // A client that sends nothing, or only part of a command, would otherwise hold a file
 // descriptor forever.
 func TestSilentConnectionsAndPartialCommandsTimeOut(t *testing.T) {
-	r := newRig(t, nil, newBackend(t).member("b"))
+	r := newRig(t, nil, newFakeBackend(t).member("b"))
 	silent, partial, used := r.dial(), r.dial(), r.dial()
 	partial.write("*2\r\n$4\r\nPI")
 	used.send("PING")
-	used.want("+PONG")
+	used.wantLine("+PONG")
 	for name, c := range map[string]*fakeClient{"silent": silent, "partial command": partial} {
-		if got := c.line(); !strings.HasPrefix(got, "-ERR ") {
+		if got := c.readLine(); !strings.HasPrefix(got, "-ERR ") {
 			t.Errorf("%s: answer %q, want -ERR", name, got)
 		}
-		c.wantEnd()
+		c.wantClosed()
 	}
 	used.send("PING") // silent for as long, but after a complete command
-	used.want("+PONG")
+	used.wantLine("+PONG")
 	used.write("*1\r\n$4\r\nPI")
-	if got := used.line(); !strings.HasPrefix(got, "-ERR ") {
+	if got := used.readLine(); !strings.HasPrefix(got, "-ERR ") {
 		t.Errorf("a partial command after a complete one is answered %q, want -ERR", got)
 	}
-	used.wantEnd()
+	used.wantClosed()
 }
 
 // A malformed frame is answered with an error and closes its connection, without effect
 // on others. A frame that is too long is rejected by its length line: reading it would
 // hold the connection until 60 MB have arrived, however slowly.
 func TestMalformedFramesCloseOnlyTheirConnection(t *testing.T) {
-	b := newBackend(t)
+	b := newFakeBackend(t)
 	r := newRig(t, nil, b.member("b"))
 	other := r.dial()
 	for _, text := range []string{
@@ -217,59 +217,59 @@
 	} {
 		c := r.dial()
 		c.send("PING")
-		c.want("+PONG")
+		c.wantLine("+PONG")
 		c.write(text)
-		if got := c.line(); !strings.HasPrefix(got, "-ERR ") {
+		if got := c.readLine(); !strings.HasPrefix(got, "-ERR ") {
 			t.Errorf("%.40q is answered %q, want -ERR", text, got)
 		}
-		c.wantEnd()
+		c.wantClosed()
 	}
 	other.send("PING")
-	other.want("+PONG")
+	other.wantLine("+PONG")
 }
 
 func TestPingFailsUntilBackendsAreKnown(t *testing.T) {
-	b := newBackend(t)
+	b := newFakeBackend(t)
 	d := newFakeDiscovery(t, b.member("b"))
-	r := serve(t, d, nil)
+	r := startRig(t, d, nil)
 	c := r.dial()
 	c.send("PING")
-	if got := c.line(); !strings.HasPrefix(got, "-ERR ") {
+	if got := c.readLine(); !strings.HasPrefix(got, "-ERR ") {
 		t.Errorf("PING is answered %q before backends are known", got)
 	}
-	close(d.gate)
-	wait(t, "a watch", d.watched)
-	r.ask(func(*loop) {}) // the list that preceded the watch has been applied
+	close(d.listGate)
+	wait(t, "a watch", d.watchIndexes)
+	r.runOnLoop(func(*loop) {}) // the list that preceded the watch has been applied
 	c.send("PING")
-	c.want("+PONG")
+	c.wantLine("+PONG")
 }
 
 func TestConfiguredBackendsServeWhileDiscoveryIsDown(t *testing.T) {
-	b := newBackend(t)
+	b := newFakeBackend(t)
 	d := newFakeDiscovery(t)
 	addr := d.Listener.Addr().String()
 	d.Close()
-	r := serve(t, d, func(cfg *Config) {
+	r := startRig(t, d, func(cfg *Config) {
 		cfg.Discovery = addr
 		cfg.LastKnownList = membership.List{Complete: true, Members: []*membership.Member{b.member("b")}}
 	})
 	c := r.dial()
 	for line := ""; line != "+PONG"; {
 		c.send("PING")
-		line = c.line()
+		line = c.readLine()
 	}
-	c.send("Q.ASK", anyone, newID(), lookup)
-	wait(t, "the request", b.got).answer("v")
-	c.want("$1\r\nv")
+	c.send("Q.ASK", testCustomer, newRequestID(), lookupOptions)
+	wait(t, "the request", b.commands).replyValue("v")
+	c.wantLine("$1\r\nv")
 }
 
 // The attempts of a disconnected client must not go on.
 func TestClientDisconnectCancelsItsAttempts(t *testing.T) {
-	b := newBackend(t)
+	b := newFakeBackend(t)
 	r := newRig(t, nil, b.member("b"))
 	c := r.dial()
-	c.send("Q.DO", anyone, newID(), payment, "BODY")
-	got := wait(t, "the request", b.got)
+	c.send("Q.DO", testCustomer, newRequestID(), paymentOptions, "BODY")
+	got := wait(t, "the request", b.commands)
 	c.nc.Close()
 	if nc := wait(t, "the end of the attempt", b.closed); nc != got.nc {
 		t.Error("a different backend connection was closed")
@@ -278,48 +278,48 @@
 }
 
 func TestRefusalCarriesRetryAdvice(t *testing.T) {
-	b := newBackend(t)
+	b := newFakeBackend(t)
 	r := newRig(t, func(cfg *Config) {
 		cfg.Choice.Plans[0].CeilingRate, cfg.Choice.Plans[0].CeilingBurst = 1e-9, 1
 	}, b.member("b"))
 	c := r.dial()
-	c.send("Q.DO", anyone, newID(), payment, "BODY")
+	c.send("Q.DO", testCustomer, newRequestID(), paymentOptions, "BODY")
 	var ms int
-	if got := c.line(); !strings.HasPrefix(got, "-BUSY ") {
+	if got := c.readLine(); !strings.HasPrefix(got, "-BUSY ") {
 		t.Errorf("over the ceiling the answer is %q, want -BUSY", got)
 	} else if _, err := fmt.Sscanf(got, "-BUSY %d", &ms); err != nil || ms <= 0 || ms > 1000 {
 		t.Errorf("the advice is %d ms, want 1 to 1000; %v", ms, err)
 	}
-	idle(t, "a forwarded request", b.got)
+	wantNone(t, "a forwarded request", b.commands)
 }
 
 // Requests over the memory limit are refused: holding them could run the process out of
 // memory.
 func TestRequestsOverTheMemoryLimitAreRefused(t *testing.T) {
-	b := newBackend(t)
+	b := newFakeBackend(t)
 	r := newRig(t, nil, b.member("b"))
-	r.ask(func(l *loop) { l.memory.limit = 3000 })
+	r.runOnLoop(func(l *loop) { l.memory.limit = 3000 })
 	c := r.dial()
 	body := strings.Repeat("x", 2000)
-	c.send("Q.DO", anyone, newID(), payment, body)
-	first := wait(t, "the request", b.got)
-	c.send("Q.DO", anyone, newID(), payment, body)
+	c.send("Q.DO", testCustomer, newRequestID(), paymentOptions, body)
+	first := wait(t, "the request", b.commands)
+	c.send("Q.DO", testCustomer, newRequestID(), paymentOptions, body)
 	c.send("PING")
 	r.waitForAnyClient("the commands to be read", func(c *client) bool { return len(c.pending) == 3 })
-	first.answer("v")
-	c.want("$1\r\nv")
-	c.want(refusal)
-	c.want("+PONG")
+	first.replyValue("v")
+	c.wantLine("$1\r\nv")
+	c.wantLine(busyLine)
+	c.wantLine("+PONG")
 	r.eventually("the memory to be released", func(l *loop) bool { return l.memory.used.Load() == 0 })
-	c.send("Q.DO", anyone, newID(), payment, body)
-	wait(t, "a request after the first has ended", b.got).answer("w")
-	c.want("$1\r\nw")
+	c.send("Q.DO", testCustomer, newRequestID(), paymentOptions, body)
+	wait(t, "a request after the first has ended", b.commands).replyValue("w")
+	c.wantLine("$1\r\nw")
 }
 
 // readUnread reads at least minBytes that are unread on a connection.
 func readUnread(t *testing.T, nc net.Conn, minBytes int) string {
 	t.Helper()
-	nc.SetReadDeadline(time.Now().Add(patience))
+	nc.SetReadDeadline(time.Now().Add(testTimeout))
 	buf := make([]byte, 1000)
 	n, err := io.ReadAtLeast(nc, buf, minBytes)
 	if err != nil {
@@ -338,13 +338,13 @@
 // A command that was read just before its connection is evicted must be answered: the
 // client has to assume that it was accepted, and would not send it again.
 func TestCommandReadBeforeEvictionIsAnswered(t *testing.T) {
-	r := newRig(t, nil, newBackend(t).member("b"))
+	r := newRig(t, nil, newFakeBackend(t).member("b"))
 	b := newConnFixture(t)
 	c := newClient(r.server, b.nc)
 	in := newInput(encode("PING"))
 	r.server.mu.Lock()
 	c.evict()
-	r.server.leaving++
+	r.server.evicting++
 	r.server.mu.Unlock()
 	if _, err := c.startCommands(&in); err != nil || c.prepareRead(&in, false) != nil {
 		t.Errorf("the connection ends, %v", err)
@@ -353,7 +353,7 @@
 		t.Errorf("the client gets %q", got)
 	}
 	r.server.mu.Lock()
-	if r.server.leaving != 0 {
+	if r.server.evicting != 0 {
 		t.Error("the connection is still counted as being evicted")
 	}
 	r.server.mu.Unlock()
@@ -369,14 +369,14 @@
 // A connection with a partial command is in use, even if the command began to arrive
 // just before the eviction: the rest of the command is awaited.
 func TestPartialCommandPreventsEviction(t *testing.T) {
-	r := newRig(t, nil, newBackend(t).member("b"))
+	r := newRig(t, nil, newFakeBackend(t).member("b"))
 	b := newConnFixture(t)
 	c := newClient(r.server, b.nc)
 	whole := encode("PING")
 	in := newInput(whole[:5])
 	r.server.mu.Lock()
 	c.evict()
-	r.server.leaving++
+	r.server.evicting++
 	r.server.mu.Unlock()
 	if blocked, err := c.startCommands(&in); err != nil || c.prepareRead(&in, blocked) != nil {
 		t.Fatalf("the connection ends, %v", err)
@@ -388,7 +388,7 @@
 	readUnread(t, b.peer, len("+PONG\r\n"))
 	r.server.mu.Lock()
 	defer r.server.mu.Unlock()
-	if r.server.leaving != 0 {
+	if r.server.evicting != 0 {
 		t.Error("the connection is still counted as being evicted")
 	}
 }
@@ -398,7 +398,7 @@
 // be lost.
 func TestCommandArrivingAfterCloseDecisionStaysUnread(t *testing.T) {
 	for name, firstCommandOnly := range map[string]bool{"draining": false, "first command only": true} {
-		r := newRig(t, nil, newBackend(t).member("b"))
+		r := newRig(t, nil, newFakeBackend(t).member("b"))
 		b := newConnFixture(t)
 		c := newClient(r.server, b.nc)
 		c.reply([]byte("+last\r\n"))
@@ -433,37 +433,37 @@
 // commands that clients have written to them must be answered, even if the ingress is
 // told to stop first.
 func TestQueuedConnectionsAreServedAfterStop(t *testing.T) {
-	b := newBackend(t)
+	b := newFakeBackend(t)
 	r := newRig(t, func(cfg *Config) { cfg.Limits.Sockets, cfg.Choice.Probing = 20, false }, b.member("b"))
 	const clientLimit = 11 // with 20 descriptors
-	r.stopNow()
+	r.closeListenerOnStop()
 	var clients []*fakeClient
 	for range clientLimit + 5 { // the last ones wait in the queue
 		c := r.dial()
 		c.send("PING")
-		c.send("Q.DO", anyone, newID(), payment, "BODY")
+		c.send("Q.DO", testCustomer, newRequestID(), paymentOptions, "BODY")
 		clients = append(clients, c)
 	}
 	for _, c := range clients[:clientLimit] {
-		c.want("+PONG")
+		c.wantLine("+PONG")
 	}
 	r.stop()
 	for _, c := range clients[clientLimit:] {
-		c.want("+PONG")
+		c.wantLine("+PONG")
 	}
 	go func() {
-		for got := range b.got {
-			got.answer("v")
+		for got := range b.commands {
+			got.replyValue("v")
 		}
 	}()
 	for i, c := range clients {
-		if got := c.line(); got != "$1\r\nv" && !strings.HasPrefix(got, "-BUSY") {
+		if got := c.readLine(); got != "$1\r\nv" && !strings.HasPrefix(got, "-BUSY") {
 			t.Errorf("client %d gets %q", i, got)
 		}
-		c.wantEnd()
+		c.wantClosed()
 	}
-	close(b.got)
-	if err := wait(t, "the end", r.ended); err != nil {
+	close(b.commands)
+	if err := wait(t, "the end", r.serveDone); err != nil {
 		t.Error(err)
 	}
 }
@@ -472,7 +472,7 @@
 // buffer must then start without waiting for further input. A delay after an invalid
 // command that is long over must not make a reader without a free slot spin.
 func TestReaderWaitsOnlyForAFreeSlot(t *testing.T) {
-	r := newRig(t, nil, newBackend(t).member("b"))
+	r := newRig(t, nil, newFakeBackend(t).member("b"))
 	b := newConnFixture(t)
 	c := newClient(r.server, b.nc)
 	c.sentCommand = true
@@ -540,7 +540,7 @@
 			cfg.Choice.Classes[i].Deadline = time.Hour
 		}
 	}, b.member("b"))
-	return r, strings.Replace(payment, "d=20000", "d=3600000", 1)
+	return r, strings.Replace(paymentOptions, "d=20000", "d=3600000", 1)
 }
 
 // A disconnect of the client is detected at once in every state of the reader: its open
@@ -550,7 +550,7 @@
 		"while the pipeline is full": func(r *rig, c *fakeClient, options string) {
 			var text strings.Builder
 			for range 2 * maxPipelinedCommands {
-				text.WriteString(encode("Q.DO", anyone, newID(), options, "BODY"))
+				text.WriteString(encode("Q.DO", testCustomer, newRequestID(), options, "BODY"))
 			}
 			c.write(text.String())
 			r.waitForAnyClient("the pipeline to be full", func(c *client) bool { return c.pipelineFull })
@@ -568,24 +568,24 @@
 		"behind more input than the read buffer holds": func(r *rig, c *fakeClient, options string) {
 			var text strings.Builder
 			for range maxPipelinedCommands {
-				text.WriteString(encode("Q.DO", anyone, newID(), options, "BODY"))
+				text.WriteString(encode("Q.DO", testCustomer, newRequestID(), options, "BODY"))
 			}
 			c.write(text.String())
 			r.waitForAnyClient("the pipeline to be full", func(c *client) bool { return c.pipelineFull })
 			text.Reset()
 			// A little more than the read buffer; the socket buffers hold the rest.
 			for text.Len() < maxMessageBytes+readBufferBytes+8<<10 {
-				text.WriteString(encode("Q.DO", anyone, newID(), options, strings.Repeat("x", 4<<10)))
+				text.WriteString(encode("Q.DO", testCustomer, newRequestID(), options, strings.Repeat("x", 4<<10)))
 			}
 			c.write(text.String())
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := newBackend(t)
+			b := newFakeBackend(t)
 			r, options := newLongDeadlineRig(t, b)
 			c := r.dial()
-			c.send("Q.DO", anyone, newID(), options, "BODY")
-			got := wait(t, "the request", b.got)
+			c.send("Q.DO", testCustomer, newRequestID(), options, "BODY")
+			got := wait(t, "the request", b.commands)
 			prepare(r, c, options)
 			c.nc.Close()
 			for wait(t, "the end of the attempt", b.closed) != got.nc { // further requests may have been forwarded
@@ -612,34 +612,34 @@
 
 // stopAndCloseListener stops the ingress and waits until it refuses connections.
 func (r *rig) stopAndCloseListener() {
-	r.stopNow()
+	r.closeListenerOnStop()
 	r.stop()
-	r.untilRefused()
+	r.waitForListenerClose()
 }
 
 func TestStopAnswersOpenRequestsAndClosesIdleConnections(t *testing.T) {
-	b := newBackend(t)
+	b := newFakeBackend(t)
 	r := newRig(t, nil, b.member("b"))
 	quiet, busy := r.dial(), r.dial()
 	quiet.send("PING")
-	quiet.want("+PONG")
-	busy.send("Q.DO", anyone, newID(), payment, "BODY")
-	got := wait(t, "the request", b.got)
-	over := r.holdPhases()
+	quiet.wantLine("+PONG")
+	busy.send("Q.DO", testCustomer, newRequestID(), paymentOptions, "BODY")
+	got := wait(t, "the request", b.commands)
+	over := r.controlPhaseEnds()
 	r.stop()
-	quiet.wantEnd()
+	quiet.wantClosed()
 	late := r.dial() // the listener stays open for a while
-	late.send("Q.DO", anyone, newID(), payment, "BODY")
-	second := wait(t, "a request after the stop", b.got)
-	second.answer("late")
-	late.want("$4\r\nlate")
-	late.wantEnd()
-	close(over[accepting])
-	r.untilRefused()
-	got.answer("v") // the open request is still awaited
-	busy.want("$1\r\nv")
-	busy.wantEnd()
-	if err := wait(t, "the end", r.ended); err != nil {
+	late.send("Q.DO", testCustomer, newRequestID(), paymentOptions, "BODY")
+	second := wait(t, "a request after the stop", b.commands)
+	second.replyValue("late")
+	late.wantLine("$4\r\nlate")
+	late.wantClosed()
+	close(over[phaseAccept])
+	r.waitForListenerClose()
+	got.replyValue("v") // the open request is still awaited
+	busy.wantLine("$1\r\nv")
+	busy.wantClosed()
+	if err := wait(t, "the end", r.serveDone); err != nil {
 		t.Error(err)
 	}
 }
@@ -647,7 +647,7 @@
 // At the limit of file descriptors, the connection that has been idle for longest is
 // evicted; one with an open request never is.
 func TestIdleClientIsEvictedForANewOne(t *testing.T) {
-	b := newBackend(t)
+	b := newFakeBackend(t)
 	// Two descriptors are left for clients.
 	r := newRig(t, func(cfg *Config) { cfg.Limits.Sockets = reservedSockets + 4 }, b.member("b"))
 	for n := 1; n > 0; { // until the connection of newRig is closed
@@ -656,27 +656,27 @@
 		r.server.mu.Unlock()
 	}
 	busy := r.dial()
-	busy.send("Q.ASK", anyone, newID(), lookup)
-	got := wait(t, "the request", b.got)
+	busy.send("Q.ASK", testCustomer, newRequestID(), lookupOptions)
+	got := wait(t, "the request", b.commands)
 	quiet := r.dial()
 	quiet.send("PING")
-	quiet.want("+PONG")
+	quiet.wantLine("+PONG")
 	third := r.dial()
 	third.send("PING")
-	third.want("+PONG")
-	quiet.wantEnd()
-	got.answer("v")
-	busy.want("$1\r\nv")
+	third.wantLine("+PONG")
+	quiet.wantClosed()
+	got.replyValue("v")
+	busy.wantLine("$1\r\nv")
 }
 
 func TestRequestIsAnsweredBeforeClientTimeout(t *testing.T) {
-	b := newBackend(t)
+	b := newFakeBackend(t)
 	r := newRig(t, nil, b.member("b"))
 	c := r.dial()
 	asked := time.Now()
-	c.send("Q.DO", anyone, newID(), strings.Replace(payment, "d=20000", "d=2000", 1), "BODY")
-	got := wait(t, "the request", b.got)
-	c.want("-ERR failed")
+	c.send("Q.DO", testCustomer, newRequestID(), strings.Replace(paymentOptions, "d=20000", "d=2000", 1), "BODY")
+	got := wait(t, "the request", b.commands)
+	c.wantLine("-ERR failed")
 	if took := time.Since(asked); took < 1500*time.Millisecond {
 		t.Errorf("failed after %v, long before the deadline of 2 s", took)
 	}
@@ -684,32 +684,32 @@
 		t.Error("a different backend connection was closed")
 	}
 	c.send("PING") // no second answer precedes PONG
-	c.want("+PONG")
+	c.wantLine("+PONG")
 }
 
 // A request gets one final answer; later ones are dropped.
 func TestSecondAnswerIsDropped(t *testing.T) {
-	b := newBackend(t)
+	b := newFakeBackend(t)
 	r := newRig(t, nil, b.member("b"))
 	c := r.dial()
-	c.write(encode("Q.ASK", anyone, newID(), lookup) + encode("Q.ASK", anyone, newID(), lookup))
-	one, two := wait(t, "a request", b.got), wait(t, "another", b.got)
-	r.ask(func(l *loop) { // the answer of the second is not written before that of the first
+	c.write(encode("Q.ASK", testCustomer, newRequestID(), lookupOptions) + encode("Q.ASK", testCustomer, newRequestID(), lookupOptions))
+	one, two := wait(t, "a request", b.commands), wait(t, "another", b.commands)
+	r.runOnLoop(func(l *loop) { // the answer of the second is not written before that of the first
 		l.Fail(2, choice.None)
 		l.Refuse(2, 0, choice.None)
 	})
-	one.answer("v")
-	two.answer("v")
-	c.want("$1\r\nv")
-	c.want("-ERR failed")
+	one.replyValue("v")
+	two.replyValue("v")
+	c.wantLine("$1\r\nv")
+	c.wantLine("-ERR failed")
 	c.send("PING")
-	c.want("+PONG")
+	c.wantLine("+PONG")
 }
 
 func TestInvalidConfigurationIsRejected(t *testing.T) {
 	for name, text := range map[string]string{
 		"invalid JSON": "{", "no settings": `{"name":"n"}`,
-		"bad seed": `{"seed":"x","settings":` + fmt.Sprintf(settings, 1) + `}`,
+		"bad seed": `{"seed":"x","settings":` + fmt.Sprintf(settingsFormat, 1) + `}`,
 	} {
 		if _, err := ParseConfig([]byte(text)); err == nil {
 			t.Errorf("%s: no error", name)
@@ -723,7 +723,7 @@
 		t.Fatal(err)
 	}
 	defer taken.Close()
-	cfg, err := ParseConfig(fmt.Appendf(nil, `{"settings":%s}`, fmt.Sprintf(settings, 1)))
+	cfg, err := ParseConfig(fmt.Appendf(nil, `{"settings":%s}`, fmt.Sprintf(settingsFormat, 1)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -737,7 +737,7 @@
 // its own last byte, even if further commands arrive meanwhile: its client does not wait
 // any longer than that.
 func TestBlockedCommandDeadlineCountsFromItsLastByte(t *testing.T) {
-	r := newRig(t, nil, newBackend(t).member("b"))
+	r := newRig(t, nil, newFakeBackend(t).member("b"))
 	b := newConnFixture(t)
 	c := newClient(r.server, b.nc)
 	c.sentCommand = true
@@ -746,7 +746,7 @@
 	in := input{}
 	now := time.Now()
 	for _, at := range []time.Time{now.Add(-blockedFor), now} {
-		text := encode("Q.DO", anyone, newID(), payment, "BODY")
+		text := encode("Q.DO", testCustomer, newRequestID(), paymentOptions, "BODY")
 		in.buf = append(in.buf, text...)
 		in.arrivals.add(len(text), at)
 		if blocked, err := c.startCommands(&in); !blocked || err != nil {
@@ -762,8 +762,8 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for i, want := range []time.Duration{timeLimit - blockedFor, timeLimit} {
-		if remaining := c.pending[i].request.deadline.Sub(now); remaining > want || remaining < want-answerMargin {
-			t.Errorf("request %d has %v left, want %v or up to answerMargin less", i, remaining, want)
+		if remaining := c.pending[i].request.deadline.Sub(now); remaining > want || remaining < want-maxDeadlineMargin {
+			t.Errorf("request %d has %v left, want %v or up to maxDeadlineMargin less", i, remaining, want)
 		}
 	}
 }
--- a/internal/ingress/config_test.go
+++ b/internal/ingress/config_test.go
@@ -23,7 +23,7 @@
 // ReloadConfig reads everything but the list of backends, which is older than the list in
 // force. Invalid files are rejected.
 func TestReloadConfigOmitsBackendList(t *testing.T) {
-	good := fmt.Sprintf(settings, 1000)
+	good := fmt.Sprintf(settingsFormat, 1000)
 	env := writeConfig(t, `{"revision":3,"complete":true,"members":[{"id":"a","host_port":"a:1"}]}`, good)
 	first, err := LoadConfig(env)
 	if err != nil || len(first.LastKnownList.Members) != 1 || first.LastKnownList.Revision != 3 {
@@ -52,7 +52,7 @@
 // The maximum number of customers grows with the memory, and is at least 1,024.
 func TestMaxCustomersScalesWithMemory(t *testing.T) {
 	for memory, want := range map[int]int{1: 1024, 48: 8987, 192: 35951} {
-		cfg, err := ParseConfig(fmt.Appendf(nil, `{"limits":{"memory_mb":%d},"settings":%s}`, memory, fmt.Sprintf(settings, 1000)))
+		cfg, err := ParseConfig(fmt.Appendf(nil, `{"limits":{"memory_mb":%d},"settings":%s}`, memory, fmt.Sprintf(settingsFormat, 1000)))
 		if err != nil || cfg.Choice.MaxCustomers != want {
 			t.Errorf("with %d MB the maximum is %d customers, error %v; want %d", memory, cfg.Choice.MaxCustomers, err, want)
 		}
--- a/internal/ingress/conn_test.go
+++ b/internal/ingress/conn_test.go
@@ -17,7 +17,7 @@
 )
 
 func TestNextReply(t *testing.T) {
-	cfg, err := ParseConfig([]byte(`{"settings":` + strings.Replace(settings, "%d", "1", 1) + `}`))
+	cfg, err := ParseConfig([]byte(`{"settings":` + strings.Replace(settingsFormat, "%d", "1", 1) + `}`))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -76,50 +76,50 @@
 // A request that must not run twice, and that may have run, gets no second attempt. It
 // fails rather than being refused, as a refusal would say that it has not run.
 func TestNonRepeatableRequestThatMayHaveRunFails(t *testing.T) {
-	one, two := newBackend(t), newBackend(t)
+	one, two := newFakeBackend(t), newFakeBackend(t)
 	r := newRig(t, nil, one.member("1"), two.member("2"))
-	for _, end := range []func(received){
-		received.reset,
-		func(got received) { got.nc.Close() },
-		func(got received) { got.line("-ERR failed") },
+	for _, end := range []func(receivedCommand){
+		receivedCommand.reset,
+		func(got receivedCommand) { got.nc.Close() },
+		func(got receivedCommand) { got.replyLine("-ERR failed") },
 		// An invalid answer ends the attempt at once, though the connection stays open.
-		func(got received) { got.line("$x") },
-		func(got received) { got.line("*3\r\n$3000000000") },
-		func(got received) { got.line("-BUSY \x01") },
-		func(got received) { got.nc.Write([]byte("*3\r\n$9\r\nhalf")) },
-		func(got received) { got.nc.Write([]byte("*3\r\n$9\r\nhal")); got.nc.Close() },
+		func(got receivedCommand) { got.replyLine("$x") },
+		func(got receivedCommand) { got.replyLine("*3\r\n$3000000000") },
+		func(got receivedCommand) { got.replyLine("-BUSY \x01") },
+		func(got receivedCommand) { got.nc.Write([]byte("*3\r\n$9\r\nhalf")) },
+		func(got receivedCommand) { got.nc.Write([]byte("*3\r\n$9\r\nhal")); got.nc.Close() },
 	} {
 		c := r.dial()
-		c.send("Q.DO", anyone, newID(), payment, "BODY")
+		c.send("Q.DO", testCustomer, newRequestID(), paymentOptions, "BODY")
 		select {
-		case got := <-one.got:
+		case got := <-one.commands:
 			end(got)
-		case got := <-two.got:
+		case got := <-two.commands:
 			end(got)
 		}
-		c.want("-ERR failed")
+		c.wantLine("-ERR failed")
 	}
-	idle(t, "a second attempt", one.got)
-	idle(t, "a second attempt", two.got)
+	wantNone(t, "a second attempt", one.commands)
+	wantNone(t, "a second attempt", two.commands)
 }
 
 // A request that a backend rejects has not run, and is retried on the other backend.
 func TestRejectedNonRepeatableRequestIsRetried(t *testing.T) {
-	one, two := newBackend(t), newBackend(t)
+	one, two := newFakeBackend(t), newFakeBackend(t)
 	r := newRig(t, nil, one.member("1"), two.member("2"))
 	c := r.dial()
-	c.send("Q.DO", anyone, newID(), payment, "BODY")
-	var first, second received
+	c.send("Q.DO", testCustomer, newRequestID(), paymentOptions, "BODY")
+	var first, second receivedCommand
 	select {
-	case first = <-one.got:
-		first.line("-BUSY")
-		second = wait(t, "a second attempt", two.got)
-	case first = <-two.got:
-		first.line("-BUSY")
-		second = wait(t, "a second attempt", one.got)
-	}
-	second.answer("v")
-	c.want("$1\r\nv")
+	case first = <-one.commands:
+		first.replyLine("-BUSY")
+		second = wait(t, "a second attempt", two.commands)
+	case first = <-two.commands:
+		first.replyLine("-BUSY")
+		second = wait(t, "a second attempt", one.commands)
+	}
+	second.replyValue("v")
+	c.wantLine("$1\r\nv")
 }
 
 // A request whose connection is refused has not run, and is retried.
@@ -130,15 +130,15 @@
 	}
 	addr := listener.Addr().String()
 	listener.Close()
-	b := newBackend(t)
+	b := newFakeBackend(t)
 	unreachable := b.member("unreachable")
 	unreachable.HostPort = addr
 	r := newRig(t, nil, b.member("b"), unreachable)
 	c := r.dial()
 	for range 10 { // some of the requests try the unreachable backend first
-		c.send("Q.DO", anyone, newID(), payment, "BODY")
-		wait(t, "the request", b.got).answer("v")
-		c.want("$1\r\nv")
+		c.send("Q.DO", testCustomer, newRequestID(), paymentOptions, "BODY")
+		wait(t, "the request", b.commands).replyValue("v")
+		c.wantLine("$1\r\nv")
 	}
 }
 
@@ -161,39 +161,39 @@
 // Answers arrive in order, so a second request on a busy connection would have to wait:
 // it uses another connection. Idle connections are reused.
 func TestConnectionsAreReusedWithoutPipelining(t *testing.T) {
-	b := newBackend(t)
+	b := newFakeBackend(t)
 	r := newRig(t, func(cfg *Config) { cfg.Choice.Probing = false }, b.member("b"))
 	c := r.dial()
-	c.write(encode("Q.ASK", anyone, newID(), lookup) + encode("Q.ASK", anyone, newID(), lookup))
-	one, two := wait(t, "a request", b.got), wait(t, "another", b.got)
+	c.write(encode("Q.ASK", testCustomer, newRequestID(), lookupOptions) + encode("Q.ASK", testCustomer, newRequestID(), lookupOptions))
+	one, two := wait(t, "a request", b.commands), wait(t, "another", b.commands)
 	if one.nc == two.nc {
 		t.Error("two requests are in flight on one connection")
 	}
-	one.answer("v")
-	two.answer("v")
-	c.want("$1\r\nv")
-	c.want("$1\r\nv")
+	one.replyValue("v")
+	two.replyValue("v")
+	c.wantLine("$1\r\nv")
+	c.wantLine("$1\r\nv")
 	r.ageIdleConns(2)
-	c.send("Q.ASK", anyone, newID(), lookup)
-	if three := wait(t, "a third", b.got); three.nc != one.nc && three.nc != two.nc {
+	c.send("Q.ASK", testCustomer, newRequestID(), lookupOptions)
+	if three := wait(t, "a third", b.commands); three.nc != one.nc && three.nc != two.nc {
 		t.Error("a new connection is used though two are idle")
 	} else {
-		three.answer("v")
+		three.replyValue("v")
 	}
-	c.want("$1\r\nv")
+	c.wantLine("$1\r\nv")
 }
 
 // A request on a connection that the backend has closed ends in a reset, and is lost if it
 // must not run twice. So the end of an idle connection is detected.
 func TestClosedIdleConnectionIsNotReused(t *testing.T) {
-	b := newBackend(t)
+	b := newFakeBackend(t)
 	r := newRig(t, func(cfg *Config) { cfg.Choice.Probing = false }, b.member("b"))
 	c := r.dial()
 	for range 3 {
-		c.send("Q.DO", anyone, newID(), payment, "BODY")
-		got := wait(t, "the request", b.got)
-		got.answer("v")
-		c.want("$1\r\nv")
+		c.send("Q.DO", testCustomer, newRequestID(), paymentOptions, "BODY")
+		got := wait(t, "the request", b.commands)
+		got.replyValue("v")
+		c.wantLine("$1\r\nv")
 		got.nc.Close()
 		r.eventually("the connection to be closed", func(l *loop) bool { return l.pool.openConns.Load() == 0 })
 	}
@@ -201,30 +201,30 @@
 
 // The ingress closes idle connections itself, well before the backend does.
 func TestIdleConnectionIsClosedBeforeBackendTimeout(t *testing.T) {
-	b := newBackend(t)
+	b := newFakeBackend(t)
 	r := newRig(t, func(cfg *Config) { cfg.backendIdleTimeout, cfg.Choice.Probing = 100*time.Millisecond, false }, b.member("b"))
 	c := r.dial()
-	c.send("Q.ASK", anyone, newID(), lookup)
-	got := wait(t, "the request", b.got)
-	got.answer("v")
-	c.want("$1\r\nv")
+	c.send("Q.ASK", testCustomer, newRequestID(), lookupOptions)
+	got := wait(t, "the request", b.commands)
+	got.replyValue("v")
+	c.wantLine("$1\r\nv")
 	if nc := wait(t, "the end of the idle connection", b.closed); nc != got.nc {
 		t.Error("a different connection was closed")
 	}
-	c.send("Q.ASK", anyone, newID(), lookup)
-	wait(t, "the next request", b.got).answer("w")
-	c.want("$1\r\nw")
+	c.send("Q.ASK", testCustomer, newRequestID(), lookupOptions)
+	wait(t, "the next request", b.commands).replyValue("w")
+	c.wantLine("$1\r\nw")
 }
 
 // At the limit of file descriptors an idle connection to another backend is evicted.
 func TestEvictIdleClosesConnectionOfAnotherBackend(t *testing.T) {
-	one, two := newBackend(t), newBackend(t)
+	one, two := newFakeBackend(t), newFakeBackend(t)
 	r := newRig(t, func(cfg *Config) { cfg.Limits.Sockets, cfg.Choice.Probing = 5, false }, one.member("1")) // one connection to backends
 	c := r.dial()
-	c.send("Q.ASK", anyone, newID(), lookup)
-	wait(t, "the request", one.got).answer("v")
-	c.want("$1\r\nv")
-	r.ask(func(l *loop) {
+	c.send("Q.ASK", testCustomer, newRequestID(), lookupOptions)
+	wait(t, "the request", one.commands).replyValue("v")
+	c.wantLine("$1\r\nv")
+	r.runOnLoop(func(l *loop) {
 		l.pool.updateMember(two.member("2"), choice.Ready)
 		l.pool.evictIdle()
 	})
@@ -241,7 +241,7 @@
 
 func newConnFixture(t *testing.T) *connFixture {
 	t.Helper()
-	cfg, err := ParseConfig(fmt.Appendf(nil, `{"settings":%s}`, fmt.Sprintf(settings, 3600_000)))
+	cfg, err := ParseConfig(fmt.Appendf(nil, `{"settings":%s}`, fmt.Sprintf(settingsFormat, 3600_000)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -259,7 +259,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { nc.Close(); peer.Close() })
-	peer.SetDeadline(time.Now().Add(patience))
+	peer.SetDeadline(time.Now().Add(testTimeout))
 	f := &connFixture{peer: peer, outcomes: make(chan choice.Status, 1)}
 	p := newPool(&cfg, func(_ *attempt, r reply, _ time.Duration, _ *conn) { f.outcomes <- r.status }, func(*conn) {})
 	f.conn = &conn{nc: nc, backend: &backend{id: 1, addr: ln.Addr().String()}, pool: p}
@@ -270,12 +270,12 @@
 func (f *connFixture) newAttempt(t *testing.T) *attempt {
 	t.Helper()
 	cmd, err := f.pool.cfg.parseCommand([][]byte{
-		[]byte("Q.DO"), []byte(anyone), []byte(someID), []byte(payment), []byte("BODY")})
+		[]byte("Q.DO"), []byte(testCustomer), []byte(testRequestID), []byte(paymentOptions), []byte("BODY")})
 	if err != nil {
 		t.Fatal(err)
 	}
 	return &attempt{pool: f.pool, request: &request{command: cmd}, backend: f.backend, started: time.Now(),
-		deadline: time.Now().Add(patience), writeDone: make(chan struct{})}
+		deadline: time.Now().Add(testTimeout), writeDone: make(chan struct{})}
 }
 
 // wantNoBytes checks that the backend saw the connection end without a byte.
@@ -321,8 +321,8 @@
 		<-ctx.Done()
 		return ctx.Err()
 	}
-	a.deadline = time.Now().Add(2 * patience)
-	f.pool.dialer.Timeout = 2 * patience
+	a.deadline = time.Now().Add(2 * testTimeout)
+	f.pool.dialer.Timeout = 2 * testTimeout
 	go a.run(nil)
 	f.wantStatus(t, choice.ConnectFailed)
 }
@@ -356,10 +356,10 @@
 // If the client disconnects while the connection to the backend is being dialed, the
 // request is not sent, even with settings that do not allow canceling attempts.
 func TestRequestOfDisconnectedClientIsNotSent(t *testing.T) {
-	b := newBackend(t)
+	b := newFakeBackend(t)
 	r := newRig(t, func(cfg *Config) { cfg.Choice.Cancelling, cfg.Choice.Probing = false, false }, b.member("b"))
 	dials, allowDial := make(chan struct{}, 10), make(chan struct{})
-	r.ask(func(l *loop) {
+	r.runOnLoop(func(l *loop) {
 		l.pool.dialer.ControlContext = func(ctx context.Context, _, _ string, _ syscall.RawConn) error {
 			dials <- struct{}{}
 			select {
@@ -371,18 +371,18 @@
 		}
 	})
 	c := r.dial()
-	c.send("Q.DO", anyone, newID(), payment, "BODY")
+	c.send("Q.DO", testCustomer, newRequestID(), paymentOptions, "BODY")
 	wait(t, "a dial", dials)
 	c.nc.Close()
 	r.eventually("the request to end", func(l *loop) bool {
 		for _, q := range l.requests {
-			return q.over
+			return q.finished
 		}
 		return true
 	})
 	close(allowDial) // the connection is opened only now
 	r.eventually("the request to be removed", func(l *loop) bool { return len(l.requests) == 0 })
-	idle(t, "a request at the backend", b.got)
+	wantNone(t, "a request at the backend", b.commands)
 }
 
 func TestFinishedRequestCancelsOnlyUnsentAttempts(t *testing.T) {
@@ -526,34 +526,34 @@
 // While reused connections are being reset, a payment on one of them could be lost. It
 // uses a new connection.
 func TestNonRepeatableRequestAvoidsReuseAfterResets(t *testing.T) {
-	b := newBackend(t)
+	b := newFakeBackend(t)
 	r := newRig(t, func(cfg *Config) { cfg.Choice.Probing = false }, b.member("b"))
 	c := r.dial()
-	c.send("Q.ASK", anyone, newID(), lookup)
-	first := wait(t, "the request", b.got)
-	first.answer("v")
-	c.want("$1\r\nv")
+	c.send("Q.ASK", testCustomer, newRequestID(), lookupOptions)
+	first := wait(t, "the request", b.commands)
+	first.replyValue("v")
+	c.wantLine("$1\r\nv")
 	r.ageIdleConns(1)
-	c.send("Q.ASK", anyone, newID(), lookup)
-	wait(t, "a request on the idle connection", b.got).reset()
-	again := wait(t, "its second attempt", b.got)
-	again.answer("v")
-	c.want("$1\r\nv")
+	c.send("Q.ASK", testCustomer, newRequestID(), lookupOptions)
+	wait(t, "a request on the idle connection", b.commands).reset()
+	again := wait(t, "its second attempt", b.commands)
+	again.replyValue("v")
+	c.wantLine("$1\r\nv")
 	r.ageIdleConns(1)
-	c.send("Q.DO", anyone, newID(), payment, "BODY")
-	got := wait(t, "a payment", b.got)
+	c.send("Q.DO", testCustomer, newRequestID(), paymentOptions, "BODY")
+	got := wait(t, "a payment", b.commands)
 	if got.nc == again.nc {
 		t.Error("the payment is sent on a reused connection")
 	}
-	got.answer("w")
-	c.want("$1\r\nw")
-	c.send("Q.ASK", anyone, newID(), lookup)
-	if last := wait(t, "a lookup", b.got); last.nc != again.nc {
+	got.replyValue("w")
+	c.wantLine("$1\r\nw")
+	c.send("Q.ASK", testCustomer, newRequestID(), lookupOptions)
+	if last := wait(t, "a lookup", b.commands); last.nc != again.nc {
 		t.Error("the lookup does not reuse the idle connection")
 	} else {
-		last.answer("x")
+		last.replyValue("x")
 	}
-	c.want("$1\r\nx")
+	c.wantLine("$1\r\nx")
 }
 
 // An answer that arrives in two parts is complete.
--- a/internal/ingress/control.go
+++ b/internal/ingress/control.go
@@ -29,8 +29,8 @@
 		return nil, err
 	}
 	view := membership.NewView()
-	l.change(view.Apply(cfg.LastKnownList, nil))
-	sources := newDiscoverySources(cfg.discoveryTiming(), cfg.Limits.maxListBytes(), view, l.changeInParts)
+	l.applyChanges(view.Apply(cfg.LastKnownList, nil))
+	sources := newDiscoverySources(cfg.discoveryTiming(), cfg.Limits.maxListBytes(), view, l.applyInBatches)
 	sources.onSwitch = func(address string) { cfg.Log.State("following", slog.String("discovery", address)) }
 	return &core{cfg: &cfg, loop: l, sources: sources}, nil
 }
@@ -43,7 +43,7 @@
 	if c.cfg.LastKnownList.Complete {
 		known = &c.cfg.LastKnownList
 	}
-	c.sources.switchTo(c.cfg.Discovery, known, func() { c.loop.post((*loop).open) })
+	c.sources.switchTo(c.cfg.Discovery, known, func() { c.loop.post((*loop).markDiscoveryAttempted) })
 	return func() {
 		c.sources.close()
 		close(stopped)
@@ -99,7 +99,7 @@
 	cost.DecodeTime = time.Since(start)
 	for batch := range slices.Chunk(changes, changeBatchSize) {
 		start = time.Now()
-		c.core.loop.change(batch)
+		c.core.loop.applyChanges(batch)
 		elapsed := time.Since(start)
 		cost.LoopTime += elapsed
 		cost.MaxBatchTime = max(cost.MaxBatchTime, elapsed)
--- a/internal/ingress/discovery_test.go
+++ b/internal/ingress/discovery_test.go
@@ -22,9 +22,9 @@
 // eventually waits until a condition on the state of the loop holds.
 func (r *rig) eventually(what string, ok func(l *loop) bool) {
 	r.Helper()
-	for end := time.Now().Add(patience); time.Now().Before(end); {
+	for end := time.Now().Add(testTimeout); time.Now().Before(end); {
 		var done bool
-		r.ask(func(l *loop) { done = ok(l) })
+		r.runOnLoop(func(l *loop) { done = ok(l) })
 		if done {
 			return
 		}
@@ -36,48 +36,48 @@
 // Changes that a watch reports take effect, and after a lost connection the next watch
 // starts at the last revision received.
 func TestWatchAppliesListChanges(t *testing.T) {
-	one, two := newBackend(t), newBackend(t)
+	one, two := newFakeBackend(t), newFakeBackend(t)
 	r := newRig(t, func(cfg *Config) { cfg.Choice.Probing = false }, one.member("1"))
-	if index := wait(t, "a watch", r.discovery.watched); index != "7" {
+	if index := wait(t, "a watch", r.discovery.watchIndexes); index != "7" {
 		t.Errorf("the watch starts at revision %s, want that of the list, 7", index)
 	}
 	c := r.dial()
-	c.send("Q.ASK", anyone, newID(), lookup)
-	first := wait(t, "the request", one.got)
-	first.answer("v")
-	c.want("$1\r\nv")
+	c.send("Q.ASK", testCustomer, newRequestID(), lookupOptions)
+	first := wait(t, "the request", one.commands)
+	first.replyValue("v")
+	c.wantLine("$1\r\nv")
 
-	r.discovery.lines <- ""
-	r.discovery.lines <- fmt.Sprintf(`{"revision":8,"complete":false,"members":[{"id":"1","host_port":%q,"phase":"DRAINING"},{"id":"2","host_port":%q,"phase":"SERVING","size":1}]}`,
+	r.discovery.watchLines <- ""
+	r.discovery.watchLines <- fmt.Sprintf(`{"revision":8,"complete":false,"members":[{"id":"1","host_port":%q,"phase":"DRAINING"},{"id":"2","host_port":%q,"phase":"SERVING","size":1}]}`,
 		one.addr, two.addr)
 	if nc := wait(t, "the end of the idle connection to the draining backend", one.closed); nc != first.nc {
 		t.Error("a different connection was closed")
 	}
 	for range 5 {
-		c.send("Q.DO", anyone, newID(), payment, "BODY")
-		wait(t, "the request at the new backend", two.got).answer("w")
-		c.want("$1\r\nw")
+		c.send("Q.DO", testCustomer, newRequestID(), paymentOptions, "BODY")
+		wait(t, "the request at the new backend", two.commands).replyValue("w")
+		c.wantLine("$1\r\nw")
 	}
 
-	r.discovery.lines <- "end" // the connection breaks
-	if index := wait(t, "the next watch", r.discovery.watched); index != "8" {
+	r.discovery.watchLines <- "end" // the connection breaks
+	if index := wait(t, "the next watch", r.discovery.watchIndexes); index != "8" {
 		t.Errorf("the next watch starts at revision %s, want 8", index)
 	}
-	r.discovery.lines <- fmt.Sprintf(`{"revision":9,"complete":true,"members":[{"id":"1","host_port":%q,"phase":"SERVING","size":1}]}`, one.addr)
+	r.discovery.watchLines <- fmt.Sprintf(`{"revision":9,"complete":true,"members":[{"id":"1","host_port":%q,"phase":"SERVING","size":1}]}`, one.addr)
 	r.eventually("the backend missing from the list to be removed", func(l *loop) bool { return len(l.pool.byName) == 1 })
-	c.send("Q.DO", anyone, newID(), payment, "BODY")
-	wait(t, "the request at the first backend", one.got).answer("x")
-	c.want("$1\r\nx")
-	r.discovery.lines <- `{"revision":10,"complete":false,"members":[{"id":"1","phase":"DELETED"}]}`
+	c.send("Q.DO", testCustomer, newRequestID(), paymentOptions, "BODY")
+	wait(t, "the request at the first backend", one.commands).replyValue("x")
+	c.wantLine("$1\r\nx")
+	r.discovery.watchLines <- `{"revision":10,"complete":false,"members":[{"id":"1","phase":"DELETED"}]}`
 	r.eventually("the deleted backend to be removed", func(l *loop) bool { return len(l.pool.byName) == 0 })
 }
 
 // A watch whose peer has become unreachable stays open and silent. It is replaced by a new
 // one.
 func TestSilentWatchIsReopened(t *testing.T) {
-	b := newBackend(t)
+	b := newFakeBackend(t)
 	f := newFakeDiscovery(t, b.member("b"))
-	close(f.gate)
+	close(f.listGate)
 	got := make(chan membership.List, 10)
 	d := newDiscoveryClient(f.Listener.Addr().String(), serviceTiming(1, 0), listBytesFloor, func(l membership.List) { got <- l })
 	d.silenceTimeout = 50 * time.Millisecond
@@ -85,8 +85,8 @@
 	if l := wait(t, "the list", got); !l.Complete || len(l.Members) != 1 || *l.Members[0] != *b.member("b") {
 		t.Errorf("the list is %+v", l)
 	}
-	wait(t, "a watch", f.watched)
-	wait(t, "a second watch", f.watched)
+	wait(t, "a watch", f.watchIndexes)
+	wait(t, "a second watch", f.watchIndexes)
 }
 
 // If the first call takes longer than the startup timeout, onFirstResult is called once
@@ -98,33 +98,33 @@
 	started := make(chan struct{}, 10)
 	go d.run(t.Context(), nil, func() { started <- struct{}{} })
 	wait(t, "the end of the startup timeout", started)
-	close(f.gate)
-	wait(t, "a watch", f.watched)
-	idle(t, "a second start", started)
+	close(f.listGate)
+	wait(t, "a watch", f.watchIndexes)
+	wantNone(t, "a second start", started)
 }
 
 // A whole tier that gets the full list at its start overloads discovery. With a last known
 // list, an ingress only asks for the changes since.
 func TestWatchStartsAtLastKnownRevision(t *testing.T) {
-	b := newBackend(t)
+	b := newFakeBackend(t)
 	f := newFakeDiscovery(t, b.member("b")) // its gate stays closed: it never sends the full list
 	got, started := make(chan membership.List, 10), make(chan struct{}, 10)
 	d := newDiscoveryClient(f.Listener.Addr().String(), serviceTiming(1, 0), listBytesFloor, func(l membership.List) { got <- l })
 	d.startupTimeout = time.Hour
 	go d.run(t.Context(), &membership.List{Revision: 5, Complete: true}, func() { started <- struct{}{} })
-	if index := wait(t, "a watch", f.watched); index != "5" {
+	if index := wait(t, "a watch", f.watchIndexes); index != "5" {
 		t.Errorf("the watch starts at revision %s, want the last known one, 5", index)
 	}
-	f.lines <- ""
+	f.watchLines <- ""
 	if l := wait(t, "the result of the empty line", got); l.Complete || len(l.Members) != 0 || l.Revision != 5 {
 		t.Errorf("an empty line is delivered as %+v", l)
 	}
 	wait(t, "the start", started)
-	f.lines <- `{"revision":6,"complete":false,"members":[{"id":"b","phase":"DRAINING"}]}`
+	f.watchLines <- `{"revision":6,"complete":false,"members":[{"id":"b","phase":"DRAINING"}]}`
 	if l := wait(t, "the change", got); l.Revision != 6 || len(l.Members) != 1 {
 		t.Errorf("the change is %+v, want revision 6 with one member", l)
 	}
-	idle(t, "a second start", started)
+	wantNone(t, "a second start", started)
 }
 
 // An overloaded service takes long to answer. Clients do not have to wait for that: they
@@ -136,8 +136,8 @@
 	started := make(chan struct{}, 10)
 	go d.run(t.Context(), &membership.List{Complete: true}, func() { started <- struct{}{} })
 	wait(t, "the start, though the watch sends nothing", started)
-	wait(t, "a watch", f.watched)
-	idle(t, "a second watch", f.watched)
+	wait(t, "a watch", f.watchIndexes)
+	wantNone(t, "a second watch", f.watchIndexes)
 }
 
 // A list may be indented, and may arrive in several lines and parts.
@@ -146,10 +146,10 @@
 	got := make(chan membership.List, 10)
 	d := newDiscoveryClient(f.Listener.Addr().String(), agentTiming(time.Hour), listBytesFloor, func(l membership.List) { got <- l })
 	go d.run(t.Context(), &membership.List{Revision: 5, Complete: true}, nil)
-	wait(t, "a watch", f.watched)
+	wait(t, "a watch", f.watchIndexes)
 	for _, text := range []string{"{", `  "revision": 8,`, `  "complete": false,`, `  "members": [`,
 		`    {"id": "b",`, "", `     "phase": "DRAINING"}`, "  ]", `} {"revision":9,"complete":false,`, `"members":[]}`} {
-		f.lines <- text
+		f.watchLines <- text
 	}
 	if l := wait(t, "the change", got); l.Revision != 8 || len(l.Members) != 1 || *l.Members[0] != (membership.Member{ID: "b", Phase: membership.PhaseDraining}) {
 		t.Errorf("the change is %+v", l)
@@ -157,12 +157,12 @@
 	if l := wait(t, "the next change", got); l.Revision != 9 || l.Complete {
 		t.Errorf("the next change is %+v", l)
 	}
-	f.lines <- ""
+	f.watchLines <- ""
 	// The end of the last line may count as an empty line.
 	if l := wait(t, "the empty line", got); l.Revision != 9 || len(l.Members) != 0 {
 		t.Errorf("an empty line is delivered as %+v", l)
 	}
-	idle(t, "a second watch", f.watched)
+	wantNone(t, "a second watch", f.watchIndexes)
 }
 
 // A watch may fall silent anywhere. Bytes that keep arriving inside a list that has begun
@@ -177,13 +177,13 @@
 		}
 	})
 	go d.run(t.Context(), &membership.List{Revision: 5, Complete: true}, nil)
-	wait(t, "a watch", f.watched)
-	f.lines <- ""
-	f.lines <- `{"revision":8,"complete":true,"members":[`
+	wait(t, "a watch", f.watchIndexes)
+	f.watchLines <- ""
+	f.watchLines <- `{"revision":8,"complete":true,"members":[`
 	for again := false; !again; {
 		select {
-		case f.lines <- "":
-		case index := <-f.watched:
+		case f.watchLines <- "":
+		case index := <-f.watchIndexes:
 			if again = true; index != "5" {
 				t.Errorf("the next watch starts at revision %s, want 5", index)
 			}
@@ -200,13 +200,13 @@
 	d := newDiscoveryClient(f.Listener.Addr().String(), p, listBytesFloor, func(l membership.List) { got <- l })
 	go d.run(t.Context(), &membership.List{Revision: 5, Complete: true}, nil)
 	for _, invalid := range []string{"noise", "}", `{"revision":"x"}`, `{"revision":8,"members":{}}`, `[{}]`, `{"members":[{"id":5}]}`} {
-		if index := wait(t, "a watch", f.watched); index != "5" {
+		if index := wait(t, "a watch", f.watchIndexes); index != "5" {
 			t.Errorf("the watch starts at revision %s, want 5", index)
 		}
-		f.lines <- invalid
+		f.watchLines <- invalid
 	}
-	wait(t, "the last watch", f.watched)
-	f.lines <- `{"revision":6,"complete":false,"members":[]}`
+	wait(t, "the last watch", f.watchIndexes)
+	f.watchLines <- `{"revision":6,"complete":false,"members":[]}`
 	if l := wait(t, "the first valid list", got); l.Revision != 6 {
 		t.Errorf("%+v is delivered, want revision 6", l)
 	}
@@ -560,7 +560,7 @@
 func TestDiscoveryTimingFollowsSettings(t *testing.T) {
 	for word, want := range map[string]discoveryTiming{"push": agentTiming(500 * time.Millisecond), "ask": serviceTiming(300, 500*time.Millisecond)} {
 		text := strings.NewReplacer(`"balancers":1,`, `"balancers":300,`, `"discovery":"push"`, fmt.Sprintf(`"discovery":%q`, word)).
-			Replace(fmt.Sprintf(settings, 1))
+			Replace(fmt.Sprintf(settingsFormat, 1))
 		cfg, err := ParseConfig(fmt.Appendf(nil, `{"settings":%s}`, text))
 		if err != nil {
 			t.Fatal(err)
@@ -628,10 +628,10 @@
 		close(ended)
 	}()
 	for range 4 {
-		wait(t, "a watch", f.watched)
-		f.lines <- "end"
+		wait(t, "a watch", f.watchIndexes)
+		f.watchLines <- "end"
 	}
-	wait(t, "the fifth watch", f.watched) // after four delays: 1, 2, 4 and 8 ms
+	wait(t, "the fifth watch", f.watchIndexes) // after four delays: 1, 2, 4 and 8 ms
 	cancel()
 	wait(t, "the end", ended)
 	if next, least := d.retryBackoff.NextBackOff(), time.Duration((1-serviceInitialJitter)*float64(16*time.Millisecond)); next < least {
@@ -642,14 +642,14 @@
 // The start time of a backend is converted from Unix time to the clock of the gateway. 0
 // means that it started long ago.
 func TestStartTimeOnGatewayClock(t *testing.T) {
-	r := newRig(t, nil, newBackend(t).member("b"))
-	r.ask(func(l *loop) {
-		if _, known := l.started(0); known {
+	r := newRig(t, nil, newFakeBackend(t).member("b"))
+	r.runOnLoop(func(l *loop) {
+		if _, known := l.startTime(0); known {
 			t.Error("0 is accepted as a start time")
 		}
 		now := time.Now()
-		at, known := l.started(now.Add(-3 * time.Second).UnixMilli())
-		if age := now.Sub(l.start) - at; !known || age < 2900*time.Millisecond || age > 3100*time.Millisecond {
+		at, known := l.startTime(now.Add(-3 * time.Second).UnixMilli())
+		if age := now.Sub(l.clockStart) - at; !known || age < 2900*time.Millisecond || age > 3100*time.Millisecond {
 			t.Errorf("the backend is %v old, want 3s", age)
 		}
 	})
@@ -658,38 +658,38 @@
 // A reload may change the address of discovery. The new address sends its full list with
 // its own revision, and the connections and the list in force are kept until then.
 func TestReloadSwitchesDiscoveryAddress(t *testing.T) {
-	one, two := newBackend(t), newBackend(t)
+	one, two := newFakeBackend(t), newFakeBackend(t)
 	r := newRig(t, func(cfg *Config) { cfg.Choice.Probing = false }, one.member("1"))
-	wait(t, "a watch", r.discovery.watched)
+	wait(t, "a watch", r.discovery.watchIndexes)
 	c := r.dial()
-	c.send("Q.ASK", anyone, newID(), lookup)
-	first := wait(t, "the request", one.got)
+	c.send("Q.ASK", testCustomer, newRequestID(), lookupOptions)
+	first := wait(t, "the request", one.commands)
 
 	unresponsiveDiscovery := newFakeDiscovery(t) // sends no list: the old address stays in force
 	r.server.Reload(Config{Discovery: unresponsiveDiscovery.Listener.Addr().String()})
-	r.discovery.lines <- fmt.Sprintf(`{"revision":99,"complete":false,"members":[{"id":"2","host_port":%q,"phase":"SERVING","size":1}]}`, two.addr)
+	r.discovery.watchLines <- fmt.Sprintf(`{"revision":99,"complete":false,"members":[{"id":"2","host_port":%q,"phase":"SERVING","size":1}]}`, two.addr)
 	r.eventually("a change at the old address", func(l *loop) bool { return len(l.pool.byName) == 2 })
 
 	next := newFakeDiscovery(t, one.member("1"))
-	next.agent.Store(true)
-	close(next.gate)
+	next.sendKeepAlives.Store(true)
+	close(next.listGate)
 	r.server.Reload(Config{Discovery: next.Listener.Addr().String()})
-	if index := wait(t, "a watch at the new address", next.watched); index != "7" {
+	if index := wait(t, "a watch at the new address", next.watchIndexes); index != "7" {
 		t.Errorf("the new watch starts at revision %s, want that of its own list, 7", index)
 	}
 	r.server.Reload(Config{Discovery: next.Listener.Addr().String()}) // the same address again: no call is made
 	r.eventually("the new list to be in force", func(l *loop) bool { return len(l.pool.byName) == 1 })
-	first.answer("v")
-	c.want("$1\r\nv")
+	first.replyValue("v")
+	c.wantLine("$1\r\nv")
 	r.ageIdleConns(1)
-	c.send("Q.ASK", anyone, newID(), lookup)
-	if again := wait(t, "another request", one.got); again.nc != first.nc {
+	c.send("Q.ASK", testCustomer, newRequestID(), lookupOptions)
+	if again := wait(t, "another request", one.commands); again.nc != first.nc {
 		t.Error("the connection to the backend was not kept")
 	} else {
-		again.answer("w")
+		again.replyValue("w")
 	}
-	c.want("$1\r\nw")
-	idle(t, "a second watch at the new address", next.watched)
+	c.wantLine("$1\r\nw")
+	wantNone(t, "a second watch at the new address", next.watchIndexes)
 }
 
 // A list from the former address that arrives after the first list of the new one is out
@@ -753,56 +753,56 @@
 // Connections to a backend that has restarted lead to its previous process. If the machine
 // of that process has disappeared, nothing else reveals that they are dead.
 func TestRestartedBackendGetsNewConnections(t *testing.T) {
-	b := newBackend(t)
+	b := newFakeBackend(t)
 	r := newRig(t, func(cfg *Config) { cfg.Choice.Probing = false }, b.member("b"))
-	wait(t, "a watch", r.discovery.watched)
+	wait(t, "a watch", r.discovery.watchIndexes)
 	c := r.dial()
-	c.send("Q.ASK", anyone, newID(), lookup)
-	first := wait(t, "the request", b.got)
-	first.answer("v")
-	c.want("$1\r\nv")
+	c.send("Q.ASK", testCustomer, newRequestID(), lookupOptions)
+	first := wait(t, "the request", b.commands)
+	first.replyValue("v")
+	c.wantLine("$1\r\nv")
 	r.ageIdleConns(1)
-	r.discovery.lines <- fmt.Sprintf(`{"revision":8,"complete":false,"members":[{"id":"b","host_port":%q,"phase":"SERVING","size":1,"up_since_ms":%d}]}`,
+	r.discovery.watchLines <- fmt.Sprintf(`{"revision":8,"complete":false,"members":[{"id":"b","host_port":%q,"phase":"SERVING","size":1,"up_since_ms":%d}]}`,
 		b.addr, time.Now().UnixMilli())
 	if nc := wait(t, "the end of the connection to the previous process", b.closed); nc != first.nc {
 		t.Error("a different connection was closed")
 	}
-	c.send("Q.DO", anyone, newID(), payment, "BODY")
-	if again := wait(t, "a request after the restart", b.got); again.nc == first.nc {
+	c.send("Q.DO", testCustomer, newRequestID(), paymentOptions, "BODY")
+	if again := wait(t, "a request after the restart", b.commands); again.nc == first.nc {
 		t.Error("the request is sent on the connection to the previous process")
 	} else {
-		again.answer("w")
+		again.replyValue("w")
 	}
-	c.want("$1\r\nw")
+	c.wantLine("$1\r\nw")
 }
 
 // A new backend may use the address of a former one before discovery reports the end of
 // the former one. The two share neither connections nor warm-up state.
 func TestBackendWithReusedAddressIsNew(t *testing.T) {
-	b := newBackend(t)
+	b := newFakeBackend(t)
 	r := newRig(t, func(cfg *Config) { cfg.Choice.Probing = false }, b.member("old"))
-	wait(t, "a watch", r.discovery.watched)
+	wait(t, "a watch", r.discovery.watchIndexes)
 	c := r.dial()
-	c.send("Q.ASK", anyone, newID(), lookup)
-	first := wait(t, "the request", b.got)
-	first.answer("v")
-	c.want("$1\r\nv")
+	c.send("Q.ASK", testCustomer, newRequestID(), lookupOptions)
+	first := wait(t, "the request", b.commands)
+	first.replyValue("v")
+	c.wantLine("$1\r\nv")
 	r.ageIdleConns(1)
-	r.discovery.lines <- fmt.Sprintf(`{"revision":8,"complete":false,"members":[{"id":"new","host_port":%q,"phase":"SERVING","size":1,"up_since_ms":%d}]}`,
+	r.discovery.watchLines <- fmt.Sprintf(`{"revision":8,"complete":false,"members":[{"id":"new","host_port":%q,"phase":"SERVING","size":1,"up_since_ms":%d}]}`,
 		b.addr, time.Now().UnixMilli())
 	if nc := wait(t, "the end of the former backend's connection", b.closed); nc != first.nc {
 		t.Error("a different connection was closed")
 	}
 	for range 2 { // the full list may still contain the former backend
-		r.ask(func(l *loop) {
+		r.runOnLoop(func(l *loop) {
 			if len(l.pool.byName) != 1 || l.pool.byName["new"] == nil || l.pool.byName["new"].id == 1 {
 				t.Errorf("the backends are %v, want only the new one, under its own id", l.pool.byName)
 			}
 		})
-		r.tell(membership.List{Complete: true, Members: []*membership.Member{
+		r.applyList(membership.List{Complete: true, Members: []*membership.Member{
 			{ID: "new", HostPort: b.addr, Phase: membership.PhaseServing, Size: 1, UpSince: time.Now().UnixMilli()}, b.member("old")}})
 	}
-	c.send("Q.ASK", anyone, newID(), lookup)
-	wait(t, "a request at the new backend", b.got).answer("w")
-	c.want("$1\r\nw")
+	c.send("Q.ASK", testCustomer, newRequestID(), lookupOptions)
+	wait(t, "a request at the new backend", b.commands).replyValue("w")
+	c.wantLine("$1\r\nw")
 }
--- a/internal/ingress/ingress_test.go
+++ b/internal/ingress/ingress_test.go
@@ -21,20 +21,20 @@
 	"cedarseam/internal/membership"
 )
 
-// patience bounds every wait of the tests; none of them passes by waiting.
-const patience = 30 * time.Second
+// testTimeout bounds every wait of the tests; none of them passes by waiting.
+const testTimeout = 30 * time.Second
 
 const (
-	lookup  = "c=lookup,t=basic,d=20000,units=1,spread=1,first=0"
-	payment = "c=payment,t=basic,d=20000,units=1,spread=1,first=0"
-	anyone  = "00000000b4d65521"
-	someID  = "9b1f03aa5c7e2d41"
+	lookupOptions  = "c=lookup,t=basic,d=20000,units=1,spread=1,first=0"
+	paymentOptions = "c=payment,t=basic,d=20000,units=1,spread=1,first=0"
+	testCustomer   = "00000000b4d65521"
+	testRequestID  = "9b1f03aa5c7e2d41"
 )
 
-// newID is the id of a new try.
-func newID() string { return fmt.Sprintf("%016x", rand.Uint64()) }
+// newRequestID is the id of a new try.
+func newRequestID() string { return fmt.Sprintf("%016x", rand.Uint64()) }
 
-const settings = `{"balancers":1,"self_index":0,"zone":0,"zones":["a"],"kinds":["std"],"tick_ms":2,"discovery":"push",
+const settingsFormat = `{"balancers":1,"self_index":0,"zone":0,"zones":["a"],"kinds":["std"],"tick_ms":2,"discovery":"push",
  "bounds":{"cancelling":true,"conn_idle_ms":%d,"connect_timeout_ms":5000,"max_retry_after_ms":1000,"probing":true,
   "retry_after":true,"second_copies":false,"try_limit":4},
  "invariants":{"cold_from":0.2,"cold_ms":1000,"drain_grace_ms":500,"fall_ms":1500,"tip_multiple":3},
@@ -45,17 +45,17 @@
  "specifics":{"max_units":1,"use_period_ms":500},
  "tiers_of_service":[{"name":"basic","quota_rate":1000,"burst":1000,"price":1}],"weights":"nominal"}`
 
-// received is one command that came to a backend.
-type received struct {
+// receivedCommand is one command that came to a backend.
+type receivedCommand struct {
 	nc   net.Conn
 	args []string
 }
 
-func (r received) answer(value string) {
+func (r receivedCommand) replyValue(value string) {
 	fmt.Fprintf(r.nc, "*3\r\n$%d\r\n%s\r\n$-1\r\n$-1\r\n", len(value), value)
 }
-func (r received) line(text string) { fmt.Fprintf(r.nc, "%s\r\n", text) }
-func (r received) reset() {
+func (r receivedCommand) replyLine(text string) { fmt.Fprintf(r.nc, "%s\r\n", text) }
+func (r receivedCommand) reset() {
 	r.nc.(*net.TCPConn).SetLinger(0)
 	r.nc.Close()
 }
@@ -63,19 +63,19 @@
 // fakeBackend hands each command to the test, which answers it. Probes it
 // answers itself.
 type fakeBackend struct {
-	addr   string
-	got    chan received
-	closed chan net.Conn // connections that the ingress has ended
-	opened chan net.Conn
+	addr     string
+	commands chan receivedCommand
+	closed   chan net.Conn // connections that the ingress has ended
+	opened   chan net.Conn
 }
 
-func newBackend(t *testing.T) *fakeBackend {
+func newFakeBackend(t *testing.T) *fakeBackend {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	b := &fakeBackend{addr: ln.Addr().String(), got: make(chan received, 100),
+	b := &fakeBackend{addr: ln.Addr().String(), commands: make(chan receivedCommand, 100),
 		closed: make(chan net.Conn, 100), opened: make(chan net.Conn, 100)}
 	t.Cleanup(func() { ln.Close() })
 	go func() {
@@ -93,14 +93,14 @@
 }
 
 func (b *fakeBackend) serve(nc net.Conn) {
-	commands := redcon.NewReader(nc)
+	reader := redcon.NewReader(nc)
 	for {
-		cmd, err := commands.ReadCommand()
+		cmd, err := reader.ReadCommand()
 		if err != nil {
 			b.closed <- nc
 			return
 		}
-		r := received{nc: nc}
+		r := receivedCommand{nc: nc}
 		for _, a := range cmd.Args {
 			r.args = append(r.args, string(a))
 		}
@@ -109,7 +109,7 @@
 			fmt.Fprintf(nc, "$%d\r\n%s\r\n", len(text), text)
 			continue
 		}
-		b.got <- r
+		b.commands <- r
 	}
 }
 
@@ -120,22 +120,22 @@
 // fakeDiscovery serves one list, and watches fed by the test.
 type fakeDiscovery struct {
 	*httptest.Server
-	lines   chan string   // the next lines of the watch now open
-	watched chan string   // the index from which each watch began
-	gate    chan struct{} // closed when the list may be told
-	done    chan struct{} // closed at the end of the test
-	agent   atomic.Bool   // a watch says at once, and again and again, that nothing has changed
-	mu      sync.Mutex
-	list    membership.List
+	watchLines     chan string   // the next lines of the watch now open
+	watchIndexes   chan string   // the index from which each watch began
+	listGate       chan struct{} // closed when the list may be told
+	done           chan struct{} // closed at the end of the test
+	sendKeepAlives atomic.Bool   // a watch says at once, and again and again, that nothing has changed
+	mu             sync.Mutex
+	list           membership.List
 }
 
 func newFakeDiscovery(t *testing.T, members ...*membership.Member) *fakeDiscovery {
-	d := &fakeDiscovery{lines: make(chan string), watched: make(chan string, 100), gate: make(chan struct{}),
+	d := &fakeDiscovery{watchLines: make(chan string), watchIndexes: make(chan string, 100), listGate: make(chan struct{}),
 		done: make(chan struct{}), list: membership.List{Revision: 7, Complete: true, Members: members}}
 	d.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Query().Get("stream") == "" {
 			select {
-			case <-d.gate:
+			case <-d.listGate:
 			case <-r.Context().Done():
 				return
 			case <-d.done:
@@ -146,21 +146,21 @@
 			json.NewEncoder(w).Encode(d.list)
 			return
 		}
-		var nothing <-chan time.Time
-		if d.agent.Load() {
-			ticks := time.NewTicker(watchKeepAlive / 2)
-			defer ticks.Stop()
-			nothing = ticks.C
+		var keepAlives <-chan time.Time
+		if d.sendKeepAlives.Load() {
+			ticker := time.NewTicker(watchKeepAlive / 2)
+			defer ticker.Stop()
+			keepAlives = ticker.C
 			io.WriteString(w, "\n")
 		}
 		w.(http.Flusher).Flush()
-		d.watched <- r.URL.Query().Get("index")
+		d.watchIndexes <- r.URL.Query().Get("index")
 		for {
 			select {
-			case <-nothing:
+			case <-keepAlives:
 				io.WriteString(w, "\n")
 				w.(http.Flusher).Flush()
-			case line := <-d.lines:
+			case line := <-d.watchLines:
 				if line == "end" {
 					return
 				}
@@ -183,42 +183,42 @@
 	server    *Server
 	discovery *fakeDiscovery
 	stop      context.CancelFunc
-	ended     chan error
+	serveDone chan error
 }
 
-func newRig(t *testing.T, change func(*Config), members ...*membership.Member) *rig {
+func newRig(t *testing.T, configure func(*Config), members ...*membership.Member) *rig {
 	t.Helper()
 	d := newFakeDiscovery(t, members...)
-	close(d.gate)
-	r := serve(t, d, change)
+	close(d.listGate)
+	r := startRig(t, d, configure)
 	c := r.dial()
 	for line := ""; line != "+PONG"; {
 		c.send("PING")
-		line = c.line()
+		line = c.readLine()
 	}
 	c.nc.Close()
 	return r
 }
 
-func serve(t *testing.T, d *fakeDiscovery, change func(*Config)) *rig {
+func startRig(t *testing.T, d *fakeDiscovery, configure func(*Config)) *rig {
 	t.Helper()
 	cfg, err := ParseConfig(fmt.Appendf(nil, `{"name":"n0","listen":"127.0.0.1:0","seed":"1","settings":%s}`,
-		fmt.Sprintf(settings, 3600_000)))
+		fmt.Sprintf(settingsFormat, 3600_000)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	d.agent.Store(true)
+	d.sendKeepAlives.Store(true)
 	cfg.Discovery = d.Listener.Addr().String()
-	if change != nil {
-		change(&cfg)
+	if configure != nil {
+		configure(&cfg)
 	}
 	s, err := Listen(cfg)
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	r := &rig{T: t, server: s, discovery: d, stop: cancel, ended: make(chan error, 1)}
-	go func() { r.ended <- s.Serve(ctx) }()
+	r := &rig{T: t, server: s, discovery: d, stop: cancel, serveDone: make(chan error, 1)}
+	go func() { r.serveDone <- s.Serve(ctx) }()
 	t.Cleanup(func() {
 		cancel()
 		s.ln.Close()
@@ -231,15 +231,15 @@
 	return r
 }
 
-// ask runs f on the loop's goroutine and waits for it.
-func (r *rig) ask(f func(l *loop)) {
+// runOnLoop runs f on the loop's goroutine and waits for it.
+func (r *rig) runOnLoop(f func(l *loop)) {
 	done := make(chan struct{})
 	r.server.loop.post(func(l *loop) { f(l); close(done) })
 	<-done
 }
 
-// tell takes a list as if discovery had told it, and returns once it is in force.
-func (r *rig) tell(list membership.List) {
+// applyList takes a list as if discovery had told it, and returns once it is in force.
+func (r *rig) applyList(list membership.List) {
 	s := r.server.sources
 	s.mu.Lock()
 	current := s.current
@@ -260,7 +260,7 @@
 		r.Fatal(err)
 	}
 	r.Cleanup(func() { nc.Close() })
-	nc.SetDeadline(time.Now().Add(patience))
+	nc.SetDeadline(time.Now().Add(testTimeout))
 	return &fakeClient{r.T, nc, bufio.NewReader(nc)}
 }
 
@@ -281,8 +281,8 @@
 	}
 }
 
-// line reads one answer: the line, and the value where it is a bulk string.
-func (c *fakeClient) line() string {
+// readLine reads one answer: the readLine, and the value where it is a bulk string.
+func (c *fakeClient) readLine() string {
 	c.t.Helper()
 	s, err := c.in.ReadString('\n')
 	if err != nil {
@@ -298,15 +298,15 @@
 	return strings.TrimSpace(s)
 }
 
-func (c *fakeClient) want(text string) {
+func (c *fakeClient) wantLine(text string) {
 	c.t.Helper()
-	if got := c.line(); got != text {
+	if got := c.readLine(); got != text {
 		c.t.Fatalf("answer %q, want %q", got, text)
 	}
 }
 
-// wantEnd waits for the ingress to close the connection without another byte.
-func (c *fakeClient) wantEnd() {
+// wantClosed waits for the ingress to close the connection without another byte.
+func (c *fakeClient) wantClosed() {
 	c.t.Helper()
 	if rest, err := io.ReadAll(c.in); err != nil || len(rest) > 0 {
 		c.t.Fatalf("the connection gave %q, %v; want its end", rest, err)
@@ -317,13 +317,13 @@
 	t.Helper()
 	select {
 	case v = <-ch:
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatalf("waited in vain for %s", what)
 	}
 	return v
 }
 
-func idle[T any](t *testing.T, what string, ch <-chan T) {
+func wantNone[T any](t *testing.T, what string, ch <-chan T) {
 	t.Helper()
 	select {
 	case <-ch:
--- a/internal/ingress/listen_test.go
+++ b/internal/ingress/listen_test.go
@@ -25,7 +25,7 @@
 func TestListenRetriesTransientErrors(t *testing.T) {
 	for _, err := range transientErrors {
 		config, calls := failingListenConfig(2, err)
-		ln, got := listen(config, "127.0.0.1:0", patience)
+		ln, got := listen(config, "127.0.0.1:0", testTimeout)
 		if got != nil || *calls != 3 {
 			t.Errorf("%v: listen returned after %d calls with %v, want success after 3", err, *calls, got)
 			continue
@@ -36,7 +36,7 @@
 
 func TestListenReturnsPermanentErrorsAndTimesOut(t *testing.T) {
 	config, calls := failingListenConfig(2, syscall.EACCES)
-	if _, err := listen(config, "127.0.0.1:0", patience); !errors.Is(err, syscall.EACCES) || *calls != 1 {
+	if _, err := listen(config, "127.0.0.1:0", testTimeout); !errors.Is(err, syscall.EACCES) || *calls != 1 {
 		t.Errorf("a permanent error: %d calls, %v; want 1 call and EACCES", *calls, err)
 	}
 	config, _ = failingListenConfig(1<<30, syscall.ENFILE)
--- a/internal/ingress/log_test.go
+++ b/internal/ingress/log_test.go
@@ -10,19 +10,19 @@
 	"cedarseam/internal/eventlog"
 )
 
-// lockedBuffer is a log that is written and read at the same time.
-type lockedBuffer struct {
+// syncBuffer is a log that is written and read at the same time.
+type syncBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
 }
 
-func (b *lockedBuffer) Write(line []byte) (int, error) {
+func (b *syncBuffer) Write(line []byte) (int, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.text.Write(line)
 }
 
-func (b *lockedBuffer) String() string {
+func (b *syncBuffer) String() string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.text.String()
@@ -30,18 +30,18 @@
 
 // The log tells what became of a request: who sent it, each attempt and why it
 // ended, the final answer, and why connections closed.
-func TestLogTellsWhatBecameOfARequest(t *testing.T) {
-	var log lockedBuffer
-	b := newBackend(t)
+func TestLogRecordsRequestLifecycle(t *testing.T) {
+	var log syncBuffer
+	b := newFakeBackend(t)
 	r := newRig(t, func(cfg *Config) { cfg.Log = eventlog.New(&log, true) }, b.member("s-1"))
 	c := r.dial()
-	c.send("Q.ASK", anyone, someID, lookup)
-	wait(t, "the first attempt", b.got).line("-BUSY")
-	wait(t, "the second attempt", b.got).answer("v")
-	c.want("$1\r\nv")
-	c.send("Q.ASK", anyone, newID(), "c=lookup,t=basic,d=20000,units=1,spread=1,first=0,x=")
-	wait(t, "the next request", b.got).line("-ERR failed")
-	wait(t, "its further attempt", b.got).reset()
+	c.send("Q.ASK", testCustomer, testRequestID, lookupOptions)
+	wait(t, "the first attempt", b.commands).replyLine("-BUSY")
+	wait(t, "the second attempt", b.commands).replyValue("v")
+	c.wantLine("$1\r\nv")
+	c.send("Q.ASK", testCustomer, newRequestID(), "c=lookup,t=basic,d=20000,units=1,spread=1,first=0,x=")
+	wait(t, "the next request", b.commands).replyLine("-ERR failed")
+	wait(t, "its further attempt", b.commands).reset()
 	c.nc.Close()
 	r.eventually("the connection to be gone", func(*loop) bool {
 		r.server.mu.Lock()
@@ -50,12 +50,12 @@
 	})
 	for _, want := range []string{
 		`client opened" client=\d+`,
-		fmt.Sprintf(`request taken" request=%s client=\d+ class=0 customer=%s left_ms=19\d+`, someID, anyone),
-		fmt.Sprintf(`attempt sent" request=%s attempt=0 backend=s-1 kind=first`, someID),
-		fmt.Sprintf(`attempt ended" request=%s attempt=0 backend=s-1 status=refused`, someID),
-		fmt.Sprintf(`attempt sent" request=%s attempt=1 backend=s-1 kind=retry`, someID),
-		fmt.Sprintf(`attempt ended" request=%s attempt=1 backend=s-1 status=ok`, someID),
-		fmt.Sprintf(`request over" request=%s end=served reason=s-1 advice_ms=0 attempts=2`, someID),
+		fmt.Sprintf(`request taken" request=%s client=\d+ class=0 customer=%s left_ms=19\d+`, testRequestID, testCustomer),
+		fmt.Sprintf(`attempt sent" request=%s attempt=0 backend=s-1 kind=first`, testRequestID),
+		fmt.Sprintf(`attempt ended" request=%s attempt=0 backend=s-1 status=refused`, testRequestID),
+		fmt.Sprintf(`attempt sent" request=%s attempt=1 backend=s-1 kind=retry`, testRequestID),
+		fmt.Sprintf(`attempt ended" request=%s attempt=1 backend=s-1 status=ok`, testRequestID),
+		fmt.Sprintf(`request over" request=%s end=served reason=s-1 advice_ms=0 attempts=2`, testRequestID),
 		`client closed" client=\d+ reason="client disconnected: EOF" age_ms=[\d.]+ answers=2`,
 		`backend connection closed" backend=s-1 reason=`,
 	} {
--- a/internal/ingress/pool.go
+++ b/internal/ingress/pool.go
@@ -147,7 +147,7 @@
 		c = p.takeIdle(a.backend)
 	}
 	a.reusedConn = c != nil
-	if maxConns := p.cfg.Limits.maxBackendConns(); c == nil && p.openConns.Load() >= int64(maxConns-maxConns/spareShare) {
+	if maxConns := p.cfg.Limits.maxBackendConns(); c == nil && p.openConns.Load() >= int64(maxConns-maxConns/headroomDivisor) {
 		p.evictIdle()
 	}
 	go a.run(c)
--- a/internal/ingress/pool_test.go
+++ b/internal/ingress/pool_test.go
@@ -99,7 +99,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { listener.Close() })
-	listener.(*net.TCPListener).SetDeadline(time.Now().Add(patience))
+	listener.(*net.TCPListener).SetDeadline(time.Now().Add(testTimeout))
 	cfg := &Config{Limits: Limits{Sockets: reservedSockets + 200}}
 	outcomes := make(chan choice.Status, 1)
 	p := newPool(cfg, func(_ *attempt, r reply, _ time.Duration, _ *conn) { outcomes <- r.status }, func(*conn) {})
@@ -107,7 +107,7 @@
 		p.updateMember(&membership.Member{ID: fmt.Sprint(i), HostPort: listener.Addr().String(), Phase: membership.PhaseServing}, choice.Ready)
 	}
 	maxConns := cfg.Limits.maxBackendConns()
-	spare := maxConns / spareShare
+	spare := maxConns / headroomDivisor
 	if spare < 2 {
 		t.Fatalf("of %d connections %d are spare, too few for the test", maxConns, spare)
 	}
@@ -118,7 +118,7 @@
 		p.putIdle(&conn{nc: near, backend: p.byName["0"], pool: p})
 	}
 	for i := range spare {
-		a := &attempt{deadline: time.Now().Add(patience)}
+		a := &attempt{deadline: time.Now().Add(testTimeout)}
 		p.startAttempt(a, p.byName["1"].id)
 		if nc, err := listener.Accept(); err != nil {
 			t.Fatal(err)
@@ -139,7 +139,7 @@
 // A long list blocks the loop for one batch of changes at a time: other events are handled
 // between batches, and a batch is queued only after the previous one was applied.
 func TestListChangesAreAppliedInBatches(t *testing.T) {
-	cfg, err := ParseConfig(fmt.Appendf(nil, `{"settings":%s}`, fmt.Sprintf(settings, 3600_000)))
+	cfg, err := ParseConfig(fmt.Appendf(nil, `{"settings":%s}`, fmt.Sprintf(settingsFormat, 3600_000)))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -155,7 +155,7 @@
 	changed := make(chan struct{})
 	go func() {
 		defer close(changed)
-		l.changeInParts(membership.NewView().Apply(list, nil))
+		l.applyInBatches(membership.NewView().Apply(list, nil))
 	}()
 	for applied := 0; applied < size; {
 		batch := wait(t, "a batch of changes", l.events)
--- a/internal/ingress/server.go
+++ b/internal/ingress/server.go
@@ -14,31 +14,31 @@
 )
 
 const (
-	acceptRetry = 5 * time.Millisecond
-	spareShare  = 16                     // of the places for clients, so many are kept free
-	idleLeast   = 2 * time.Second        // a connection that has asked may be closed when idle for so long
-	silentLeast = 250 * time.Millisecond // and one that has not when it is so old
+	acceptRetryInterval = 5 * time.Millisecond
+	headroomDivisor     = 16                     // of the places for clients, so many are kept free
+	minIdleUsed         = 2 * time.Second        // a connection that has asked may be closed when idle for so long
+	minIdleUnused       = 250 * time.Millisecond // and one that has not when it is so old
 )
 
 // Server is one running ingress.
 type Server struct {
 	*core
-	ln    *net.TCPListener
-	plan  func(begun time.Time, longestDeadline time.Duration) shutdown.Schedule
-	endOf func(phase, shutdown.Schedule) <-chan struct{} // closed at the end of a phase of the stop
-
-	moves chan string // addresses of discovery to move to
-
-	lastClient atomic.Uint64 // the number of the newest connection
-
-	mu       sync.Mutex
-	clients  map[*client]struct{}
-	leaving  int           // clients that were closed to make room and are not gone yet
-	draining bool          // connections close between requests
-	ending   bool          // the listener closes as soon as nobody waits in its queue
-	final    bool          // nothing more is read
-	stopping bool          // no further connection is taken
-	empty    chan struct{} // closed when stopping and no client is left
+	ln          *net.TCPListener
+	newSchedule func(begun time.Time, longestDeadline time.Duration) shutdown.Schedule
+	phaseEnd    func(phase, shutdown.Schedule) <-chan struct{} // closed at the end of a phase of the stop
+
+	discoveryAddrs chan string // addresses of discovery to move to
+
+	lastClientID atomic.Uint64 // the number of the newest connection
+
+	mu               sync.Mutex
+	clients          map[*client]struct{}
+	evicting         int           // clients that were closed to make room and are not gone yet
+	draining         bool          // connections close between requests
+	drainingBacklog  bool          // the listener closes as soon as nobody waits in its queue
+	readingStopped   bool          // nothing more is read
+	acceptingStopped bool          // no further connection is taken
+	allClientsClosed chan struct{} // closed when stopping and no client is left
 }
 
 // Listen makes an ingress and opens its address.
@@ -51,15 +51,15 @@
 	if err != nil {
 		return nil, fmt.Errorf("clients: %w", err)
 	}
-	return &Server{core: core, ln: ln.(*net.TCPListener), clients: map[*client]struct{}{}, empty: make(chan struct{}),
-		plan: shutdown.NewSchedule, endOf: endOf, moves: make(chan string)}, nil
+	return &Server{core: core, ln: ln.(*net.TCPListener), clients: map[*client]struct{}{}, allClientsClosed: make(chan struct{}),
+		newSchedule: shutdown.NewSchedule, phaseEnd: phaseEnd, discoveryAddrs: make(chan string)}, nil
 }
 
 // Reload takes what may change while the ingress runs: the address of
 // discovery. All connections and all that is known stay.
 func (s *Server) Reload(cfg Config) {
 	select {
-	case s.moves <- cfg.Discovery:
+	case s.discoveryAddrs <- cfg.Discovery:
 	case <-s.loop.done:
 	}
 }
@@ -75,21 +75,21 @@
 	go func() {
 		for {
 			select {
-			case addr := <-s.moves:
+			case addr := <-s.discoveryAddrs:
 				s.sources.switchTo(addr, nil, nil)
 			case <-s.loop.done:
 				return
 			}
 		}
 	}()
-	failed := make(chan error, 1)
-	go func() { failed <- s.accept() }()
+	acceptDone := make(chan error, 1)
+	go func() { acceptDone <- s.accept() }()
 	select {
-	case err := <-failed:
+	case err := <-acceptDone:
 		return err
 	case <-ctx.Done():
 	}
-	s.shutDown(s.plan(shutdown.RequestedAt(ctx), s.longestDeadline()), failed)
+	s.shutDown(s.newSchedule(shutdown.RequestedAt(ctx), s.longestDeadline()), acceptDone)
 	return nil
 }
 
@@ -104,8 +104,8 @@
 func (s *Server) accept() error {
 	for {
 		s.mu.Lock()
-		if s.ending {
-			s.ln.SetDeadline(time.Now().Add(lastCall))
+		if s.drainingBacklog {
+			s.ln.SetDeadline(time.Now().Add(backlogIdleTimeout))
 		}
 		s.mu.Unlock()
 		nc, err := s.ln.Accept()
@@ -113,69 +113,69 @@
 			return nil
 		}
 		if err != nil { // out of descriptors, or a connection that broke at once
-			time.Sleep(acceptRetry)
+			time.Sleep(acceptRetryInterval)
 			continue
 		}
 		// With no room even so, the next ones wait in the listener's queue: to
 		// turn them away would hit usual clients as well.
-		for !s.room() {
-			time.Sleep(acceptRetry)
+		for !s.makeRoom() {
+			time.Sleep(acceptRetryInterval)
 		}
-		s.add(nc)
+		s.addClient(nc)
 	}
 }
 
-// room makes room for a further connection. Near the limit it closes the one
+// makeRoom makes makeRoom for a further connection. Near the limit it closes the one
 // that matters least: first those that have never asked for anything, then the
 // one that has been idle for longest. One with a request open stays.
-func (s *Server) room() bool {
+func (s *Server) makeRoom() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	most := s.cfg.Limits.maxClients()
-	if s.ending || len(s.clients) < most && len(s.clients)-s.leaving < most-most/spareShare {
+	maxClients := s.cfg.Limits.maxClients()
+	if s.drainingBacklog || len(s.clients) < maxClients && len(s.clients)-s.evicting < maxClients-maxClients/headroomDivisor {
 		return true
 	}
-	var least *client
-	var rank evictionRank
+	var victim *client
+	var victimRank evictionRank
 	now := time.Now()
 	for c := range s.clients {
-		if r, closable := c.evictionRank(now); closable && (least == nil || r.before(rank)) {
-			least, rank = c, r
+		if rank, evictable := c.evictionRank(now); evictable && (victim == nil || rank.before(victimRank)) {
+			victim, victimRank = c, rank
 		}
 	}
-	if least != nil {
-		least.evict()
-		s.leaving++
+	if victim != nil {
+		victim.evict()
+		s.evicting++
 	}
-	return len(s.clients) < most
+	return len(s.clients) < maxClients
 }
 
-// busy is the answer to what is refused before it reaches the gateway.
-func (s *Server) busy() []byte { return busy(s.cfg.Choice.RetryAfterHint()) }
+// busyReply is the answer to what is refused before it reaches the gateway.
+func (s *Server) busyReply() []byte { return busyReply(s.cfg.Choice.RetryAfterHint()) }
 
-// add serves a new connection.
-func (s *Server) add(nc net.Conn) {
+// addClient serves a new connection.
+func (s *Server) addClient(nc net.Conn) {
 	c := newClient(s, nc)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	c.draining, c.readingStopped = s.draining, s.final // closes after its first answer
+	c.draining, c.readingStopped = s.draining, s.readingStopped // closes after its first answer
 	s.clients[c] = struct{}{}
 	go c.serve()
 }
 
-// stays tells that a connection that was to make room is in use after all.
-func (s *Server) stays() {
+// cancelEviction tells that a connection that was to make room is in use after all.
+func (s *Server) cancelEviction() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.leaving--
+	s.evicting--
 }
 
-func (s *Server) remove(c *client) {
+func (s *Server) removeClient(c *client) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.clients, c)
 	if c.evicted {
-		s.leaving--
+		s.evicting--
 	}
-	s.checkEmpty()
+	s.checkAllClientsClosed()
 }
--- a/internal/ingress/shutdown.go
+++ b/internal/ingress/shutdown.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	lastCall     = 50 * time.Millisecond  // nobody has come for so long: nobody waits in the listener's queue
-	lastCallMost = 500 * time.Millisecond // the longest that is waited for this
+	backlogIdleTimeout  = 50 * time.Millisecond  // nobody has come for so long: nobody waits in the listener's queue
+	maxBacklogDrainTime = 500 * time.Millisecond // the longest that is waited for this
 )
 
 // phase is one of the waits of a stop.
@@ -18,26 +18,26 @@
 // The phases, in the order of their ends; the first is over once the listener
 // may close.
 const (
-	accepting phase = iota
-	reading
-	closing
+	phaseAccept phase = iota
+	phaseRead
+	phaseClose
 )
 
-// timeOf returns when a phase ends at the latest.
-func timeOf(p phase, plan shutdown.Schedule) time.Time {
+// phaseDeadline returns when a phase ends at the latest.
+func phaseDeadline(p phase, schedule shutdown.Schedule) time.Time {
 	switch p {
-	case accepting:
-		return plan.AcceptUntil
-	case reading:
-		return plan.ReadUntil
+	case phaseAccept:
+		return schedule.AcceptUntil
+	case phaseRead:
+		return schedule.ReadUntil
 	}
-	return plan.CloseBy
+	return schedule.CloseBy
 }
 
-// endOf returns a channel that is closed at the end of a phase.
-func endOf(p phase, plan shutdown.Schedule) <-chan struct{} {
+// phaseEnd returns a channel that is closed at the end of a phase.
+func phaseEnd(p phase, schedule shutdown.Schedule) <-chan struct{} {
 	end := make(chan struct{})
-	time.AfterFunc(time.Until(timeOf(p, plan)), func() { close(end) })
+	time.AfterFunc(time.Until(phaseDeadline(p, schedule)), func() { close(end) })
 	return end
 }
 
@@ -45,22 +45,22 @@
 // all that is read, closes each connection between requests, and returns when
 // none is left: at the latest when the schedule says so, for the process may be
 // killed soon after.
-func (s *Server) shutDown(plan shutdown.Schedule, accepted <-chan error) {
+func (s *Server) shutDown(schedule shutdown.Schedule, acceptDone <-chan error) {
 	s.cfg.Log.EnableDetail() // what becomes of each request now is what matters
 	s.logState("draining")
-	s.loop.post(func(l *loop) { l.gateway.Stop(l.now(), plan.AnswerBy.Sub(l.start)) })
+	s.loop.post(func(l *loop) { l.gateway.Stop(l.now(), schedule.AnswerBy.Sub(l.clockStart)) })
 	s.drain(false)
-	go s.stopAccepting(plan, accepted)
-	last := plan
+	go s.stopAccepting(schedule, acceptDone)
+	finalSchedule := schedule
 	select {
-	case <-s.empty:
-	case <-s.endOf(reading, plan):
+	case <-s.allClientsClosed:
+	case <-s.phaseEnd(phaseRead, schedule):
 		s.stopReading()
-		last = plan.WithReadEnd(time.Now())
+		finalSchedule = schedule.WithReadEnd(time.Now())
 	}
 	select {
-	case <-s.empty:
-	case <-s.endOf(closing, last):
+	case <-s.allClientsClosed:
+	case <-s.phaseEnd(phaseClose, finalSchedule):
 		s.closeAll()
 	}
 	s.logState("ended")
@@ -68,20 +68,20 @@
 
 // stopAccepting closes the listener once clients no longer come. From then on
 // connections that were used take no further command.
-func (s *Server) stopAccepting(plan shutdown.Schedule, accepted <-chan error) {
-	lastRead := s.endOf(reading, plan)
+func (s *Server) stopAccepting(schedule shutdown.Schedule, acceptDone <-chan error) {
+	readPhaseEnd := s.phaseEnd(phaseRead, schedule)
 	select {
-	case <-s.endOf(accepting, plan):
-	case <-lastRead:
+	case <-s.phaseEnd(phaseAccept, schedule):
+	case <-readPhaseEnd:
 	}
 	s.logState("closing the listener")
-	s.closeListener(accepted, lastRead)
+	s.closeListener(acceptDone, readPhaseEnd)
 	s.logState("taking no further command on used connections")
 	s.drain(true)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.stopping = true
-	s.checkEmpty()
+	s.acceptingStopped = true
+	s.checkAllClientsClosed()
 }
 
 // closeListener closes the listener once nobody waits in its queue: a
@@ -89,30 +89,30 @@
 // written counts as taken. It returns when all of them are served, and closes the
 // listener in any case with the last read: a connection that is taken later would
 // have its first command read with no time left for the answer.
-func (s *Server) closeListener(accepted <-chan error, lastRead <-chan struct{}) {
+func (s *Server) closeListener(acceptDone <-chan error, readPhaseEnd <-chan struct{}) {
 	s.mu.Lock()
-	s.ending = true
-	s.ln.SetDeadline(time.Now().Add(lastCall))
+	s.drainingBacklog = true
+	s.ln.SetDeadline(time.Now().Add(backlogIdleTimeout))
 	s.mu.Unlock()
 	select {
-	case <-accepted:
+	case <-acceptDone:
 		s.ln.Close()
 		return
-	case <-lastRead:
-	case <-time.After(lastCallMost):
+	case <-readPhaseEnd:
+	case <-time.After(maxBacklogDrainTime):
 	}
 	s.ln.Close()
-	<-accepted
+	<-acceptDone
 }
 
 // drain makes each connection close as soon as it has nothing open. With halt
 // set, those that have sent a command take no further one.
-func (s *Server) drain(halt bool) {
+func (s *Server) drain(firstCommandOnly bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.draining = true
 	for c := range s.clients {
-		c.drain(halt)
+		c.drain(firstCommandOnly)
 	}
 }
 
@@ -121,7 +121,7 @@
 	s.logState("reading no further command")
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.final = true
+	s.readingStopped = true
 	for c := range s.clients {
 		c.stopReading()
 	}
@@ -137,12 +137,12 @@
 	}
 }
 
-func (s *Server) checkEmpty() {
-	if s.stopping && len(s.clients) == 0 {
+func (s *Server) checkAllClientsClosed() {
+	if s.acceptingStopped && len(s.clients) == 0 {
 		select {
-		case <-s.empty:
+		case <-s.allClientsClosed:
 		default:
-			close(s.empty)
+			close(s.allClientsClosed)
 		}
 	}
 }
--- a/internal/ingress/shutdown_test.go
+++ b/internal/ingress/shutdown_test.go
@@ -17,32 +17,32 @@
 	"cedarseam/internal/shutdown"
 )
 
-// farAway is later than the end of any test.
-const farAway = time.Hour
+// farFuture is later than the end of any test.
+const farFuture = time.Hour
 
-// holdPhases makes each phase of the stop last until its channel is closed, and
+// controlPhaseEnds makes each phase of the stop last until its channel is closed, and
 // the answers wait for as long as their clients do.
-func (r *rig) holdPhases() (ends [closing + 1]chan struct{}) {
+func (r *rig) controlPhaseEnds() (ends [phaseClose + 1]chan struct{}) {
 	for p := range ends {
 		ends[p] = make(chan struct{})
 	}
-	r.server.plan = func(begun time.Time, _ time.Duration) shutdown.Schedule {
-		end := begun.Add(farAway)
-		return shutdown.Schedule{RequestedAt: begun, AcceptUntil: end, AnswerBy: end, ReadUntil: end, CloseBy: end, KillAt: end}
+	r.server.newSchedule = func(requestedAt time.Time, _ time.Duration) shutdown.Schedule {
+		end := requestedAt.Add(farFuture)
+		return shutdown.Schedule{RequestedAt: requestedAt, AcceptUntil: end, AnswerBy: end, ReadUntil: end, CloseBy: end, KillAt: end}
 	}
-	r.server.endOf = func(p phase, _ shutdown.Schedule) <-chan struct{} { return ends[p] }
+	r.server.phaseEnd = func(p phase, _ shutdown.Schedule) <-chan struct{} { return ends[p] }
 	return ends
 }
 
-// stopNow makes the listener close as soon as the stop begins, and all else wait.
-func (r *rig) stopNow() {
-	close(r.holdPhases()[accepting])
+// closeListenerOnStop makes the listener close as soon as the stop begins, and all else wait.
+func (r *rig) closeListenerOnStop() {
+	close(r.controlPhaseEnds()[phaseAccept])
 }
 
-// untilRefused connects until the listener is closed.
-func (r *rig) untilRefused() {
+// waitForListenerClose connects until the listener is closed.
+func (r *rig) waitForListenerClose() {
 	r.Helper()
-	for end := time.Now().Add(patience); time.Now().Before(end); {
+	for end := time.Now().Add(testTimeout); time.Now().Before(end); {
 		nc, err := net.Dial("tcp", r.server.Addr().String())
 		if err != nil {
 			return
@@ -52,15 +52,15 @@
 	r.Fatal("the listener stays open")
 }
 
-// clientsAre waits until a condition holds of every connection of a client.
-func (r *rig) clientsAre(what string, ok func(*client) bool) {
+// waitForAllClients waits until a condition holds of every connection of a client.
+func (r *rig) waitForAllClients(what string, condition func(*client) bool) {
 	r.Helper()
 	r.eventually(what, func(*loop) bool {
 		r.server.mu.Lock()
 		defer r.server.mu.Unlock()
 		for c := range r.server.clients {
 			c.mu.Lock()
-			holds := ok(c)
+			holds := condition(c)
 			c.mu.Unlock()
 			if !holds {
 				return false
@@ -73,48 +73,50 @@
 // stopCase is the state of one client when the process is told to end, and what
 // it is owed. Its backend never gives a whole answer.
 type stopCase struct {
-	before  func(*fakeClient) // before the process is told to end
-	halted  func(*fakeClient) // once the listener is closed
-	due     func(*fakeClient) // once the time for answers is over
-	want    []string          // all that the client gets before the connection ends
-	forward int               // requests that come to the backend
+	beforeStop          func(*fakeClient) // before the process is told to end
+	afterListenerClose  func(*fakeClient) // once the listener is closed
+	afterAnswerDeadline func(*fakeClient) // once the time for answers is over
+	want                []string          // all that the client gets before the connection ends
+	wantForwarded       int               // requests that come to the backend
 }
 
 const (
-	refusal = "-BUSY 200"
-	failure = "-ERR failed"
+	busyLine   = "-BUSY 200"
+	failedLine = "-ERR failed"
 )
 
-func half(c *fakeClient) { c.write(encode("Q.ASK", anyone, newID(), lookup)[:40]) }
+func sendPartialCommand(c *fakeClient) {
+	c.write(encode("Q.ASK", testCustomer, newRequestID(), lookupOptions)[:40])
+}
 
-func pingFirst(c *fakeClient) {
+func exchangePing(c *fakeClient) {
 	c.send("PING")
-	c.want("+PONG")
+	c.wantLine("+PONG")
 }
 
-func ask(c *fakeClient) { c.send("Q.ASK", anyone, newID(), lookup) }
-func pay(c *fakeClient) { c.send("Q.DO", anyone, newID(), payment, "BODY") }
-func brief(c *fakeClient) {
-	c.send("Q.ASK", anyone, newID(), strings.Replace(lookup, "20000", "150", 1))
+func sendLookup(c *fakeClient)  { c.send("Q.ASK", testCustomer, newRequestID(), lookupOptions) }
+func sendPayment(c *fakeClient) { c.send("Q.DO", testCustomer, newRequestID(), paymentOptions, "BODY") }
+func sendShortLookup(c *fakeClient) {
+	c.send("Q.ASK", testCustomer, newRequestID(), strings.Replace(lookupOptions, "20000", "150", 1))
 }
 
-// many is so many requests that some are read and held back.
-const many = 2 * maxPipelinedCommands
+// pipelinedLookups is so pipelinedLookups requests that some are read and held back.
+const pipelinedLookups = 2 * maxPipelinedCommands
 
-func askMany(c *fakeClient) {
+func sendPipelinedLookups(c *fakeClient) {
 	var text strings.Builder
-	for range many {
-		text.WriteString(encode("Q.ASK", anyone, newID(), lookup))
+	for range pipelinedLookups {
+		text.WriteString(encode("Q.ASK", testCustomer, newRequestID(), lookupOptions))
 	}
 	c.write(text.String())
 }
 
-// hears waits for an answer.
-func hears(line string) func(*fakeClient) {
-	return func(c *fakeClient) { c.want(line) }
+// expectLine waits for an answer.
+func expectLine(line string) func(*fakeClient) {
+	return func(c *fakeClient) { c.wantLine(line) }
 }
 
-func both(steps ...func(*fakeClient)) func(*fakeClient) {
+func inSequence(steps ...func(*fakeClient)) func(*fakeClient) {
 	return func(c *fakeClient) {
 		for _, step := range steps {
 			step(c)
@@ -124,69 +126,69 @@
 
 var stopCases = map[string]stopCase{
 	"a new connection says nothing":              {},
-	"a used connection says nothing":             {before: pingFirst},
-	"half a command on a new connection":         {before: half, want: []string{refusal}},
-	"half a command on a used connection":        {before: both(pingFirst, half), want: []string{refusal}},
-	"half a command after the listener's end":    {halted: half, want: []string{refusal}},
-	"a request waits that may be repeated":       {before: ask, want: []string{refusal}, forward: 1},
-	"a request waits that must not run twice":    {before: pay, want: []string{failure}, forward: 1},
-	"a request whose time is over":               {before: both(brief, hears(failure)), forward: 1},
-	"a request and half a command behind it":     {before: both(pay, half), want: []string{failure, refusal}, forward: 1},
-	"a first request after the listener's end":   {halted: ask, want: []string{refusal}, forward: 1},
-	"a first payment after the listener's end":   {halted: pay, want: []string{failure}, forward: 1},
-	"a first request after the time for answers": {due: pay, want: []string{refusal}},
-	"more requests than may be open":             {before: askMany, want: slices.Repeat([]string{refusal}, many), forward: 1},
+	"a used connection says nothing":             {beforeStop: exchangePing},
+	"half a command on a new connection":         {beforeStop: sendPartialCommand, want: []string{busyLine}},
+	"half a command on a used connection":        {beforeStop: inSequence(exchangePing, sendPartialCommand), want: []string{busyLine}},
+	"half a command after the listener's end":    {afterListenerClose: sendPartialCommand, want: []string{busyLine}},
+	"a request waits that may be repeated":       {beforeStop: sendLookup, want: []string{busyLine}, wantForwarded: 1},
+	"a request waits that must not run twice":    {beforeStop: sendPayment, want: []string{failedLine}, wantForwarded: 1},
+	"a request whose time is over":               {beforeStop: inSequence(sendShortLookup, expectLine(failedLine)), wantForwarded: 1},
+	"a request and half a command behind it":     {beforeStop: inSequence(sendPayment, sendPartialCommand), want: []string{failedLine, busyLine}, wantForwarded: 1},
+	"a first request after the listener's end":   {afterListenerClose: sendLookup, want: []string{busyLine}, wantForwarded: 1},
+	"a first payment after the listener's end":   {afterListenerClose: sendPayment, want: []string{failedLine}, wantForwarded: 1},
+	"a first request after the time for answers": {afterAnswerDeadline: sendPayment, want: []string{busyLine}},
+	"more requests than may be open":             {beforeStop: sendPipelinedLookups, want: slices.Repeat([]string{busyLine}, pipelinedLookups), wantForwarded: 1},
 	"wrong commands before a request": {
-		before: func(c *fakeClient) { c.write(encode("GET") + encode("GET") + encode("GET") + encode("PING")) },
-		want:   []string{"-ERR unknown command", "-ERR unknown command", "-ERR unknown command", "+PONG"}},
+		beforeStop: func(c *fakeClient) { c.write(encode("GET") + encode("GET") + encode("GET") + encode("PING")) },
+		want:       []string{"-ERR unknown command", "-ERR unknown command", "-ERR unknown command", "+PONG"}},
 }
 
 // What is read after the process is told to end is answered before it may be
 // killed, and every connection is closed: whatever the state of the client, and
 // however the backend fails to answer.
-func TestEverythingReadIsAnsweredBeforeTheEnd(t *testing.T) {
-	for backend, begin := range map[string]func(received){
-		"silent":          func(received) {},
-		"amid an answer":  func(got received) { io.WriteString(got.nc, "*3\r\n$5\r\nva") },
+func TestStopAnswersEveryCommandRead(t *testing.T) {
+	for backend, handle := range map[string]func(receivedCommand){
+		"silent":          func(receivedCommand) {},
+		"amid an answer":  func(got receivedCommand) { io.WriteString(got.nc, "*3\r\n$5\r\nva") },
 		"not connecting":  nil,
-		"gone in silence": func(got received) { got.nc.(*net.TCPConn).CloseRead() },
+		"gone in silence": func(got receivedCommand) { got.nc.(*net.TCPConn).CloseRead() },
 	} {
-		for name, state := range stopCases {
+		for name, testCase := range stopCases {
 			t.Run(backend+"/"+name, func(t *testing.T) {
 				t.Parallel()
-				checkStop(t, state, begin)
+				checkStop(t, testCase, handle)
 			})
 		}
 	}
 }
 
-// each hands on what comes to the backend, until the end of the test.
-func (b *fakeBackend) each(t *testing.T, do func(received)) {
+// handleEach hands on what comes to the backend, until the end of the test.
+func (b *fakeBackend) handleEach(t *testing.T, handle func(receivedCommand)) {
 	for {
 		select {
-		case request := <-b.got:
-			do(request)
+		case request := <-b.commands:
+			handle(request)
 		case <-t.Context().Done():
 			return
 		}
 	}
 }
 
-func checkStop(t *testing.T, state stopCase, begin func(received)) {
-	b := newBackend(t)
+func checkStop(t *testing.T, testCase stopCase, handle func(receivedCommand)) {
+	b := newFakeBackend(t)
 	r := newRig(t, func(cfg *Config) { cfg.Choice.Probing, cfg.Choice.MaxAttempts = false, 1 }, b.member("b"))
-	if begin == nil {
-		r.ask(func(l *loop) {
+	if handle == nil {
+		r.runOnLoop(func(l *loop) {
 			l.pool.dialer.ControlContext = func(ctx context.Context, _, _ string, _ syscall.RawConn) error {
 				<-ctx.Done()
 				return ctx.Err()
 			}
 		})
 	}
-	got := make(chan struct{}, many)
-	go b.each(t, func(request received) {
-		begin(request)
-		got <- struct{}{}
+	received := make(chan struct{}, pipelinedLookups)
+	go b.handleEach(t, func(request receivedCommand) {
+		handle(request)
+		received <- struct{}{}
 	})
 	forwarded := 0
 	c := r.dial()
@@ -195,107 +197,107 @@
 			return
 		}
 		do(c)
-		r.eventually("the command to be read", func(*loop) bool { return !r.unreadOf(c) })
-		for ; begin != nil && forwarded < state.forward; forwarded++ {
-			wait(t, "the request at the backend", got)
+		r.eventually("the command to be read", func(*loop) bool { return !r.hasUnreadInput(c) })
+		for ; handle != nil && forwarded < testCase.wantForwarded; forwarded++ {
+			wait(t, "the request at the backend", received)
 		}
-		if begin == nil && state.forward > 0 {
-			r.eventually("the request to be taken", func(l *loop) bool { return l.lastID > 0 })
+		if handle == nil && testCase.wantForwarded > 0 {
+			r.eventually("the request to be taken", func(l *loop) bool { return l.lastRequestID > 0 })
 		}
 	}
 	r.waitForAnyClient("the connection to be accepted", func(*client) bool { return true })
-	phases := r.holdPhases()
-	step(state.before)
+	phaseEnds := r.controlPhaseEnds()
+	step(testCase.beforeStop)
 	r.stop()
-	r.clientsAre("the stop to have begun", func(c *client) bool { return c.draining })
-	close(phases[accepting])
+	r.waitForAllClients("the stop to have begun", func(c *client) bool { return c.draining })
+	close(phaseEnds[phaseAccept])
 	r.eventually("the listener to be closed", func(*loop) bool {
 		r.server.mu.Lock()
 		defer r.server.mu.Unlock()
-		return r.server.stopping
+		return r.server.acceptingStopped
 	})
-	step(state.halted)
-	r.ask(func(l *loop) { l.gateway.Stop(l.now(), l.now()) }) // the time for answers is over
-	step(state.due)
+	step(testCase.afterListenerClose)
+	r.runOnLoop(func(l *loop) { l.gateway.Stop(l.now(), l.now()) }) // the time for answers is over
+	step(testCase.afterAnswerDeadline)
 	r.eventually("all requests to be answered", func(l *loop) bool {
 		for _, open := range l.requests {
-			if !open.over {
+			if !open.finished {
 				return false
 			}
 		}
 		return true
 	})
-	close(phases[reading])
-	c.wantAll(state.want...)
-	if err := wait(t, "the end", r.ended); err != nil {
+	close(phaseEnds[phaseRead])
+	c.wantLinesThenClose(testCase.want...)
+	if err := wait(t, "the end", r.serveDone); err != nil {
 		t.Error(err)
 	}
-	if begin == nil {
-		idle(t, "a request at the backend", got)
+	if handle == nil {
+		wantNone(t, "a request at the backend", received)
 	}
 }
 
 // No connection is taken after the last read, though clients still come: its
 // first command would be read with no time left for the answer.
-func TestNobodyIsAcceptedAfterTheLastRead(t *testing.T) {
-	r := newRig(t, nil, newBackend(t).member("b"))
-	phases := r.holdPhases()
+func TestListenerClosesWithReadPhase(t *testing.T) {
+	r := newRig(t, nil, newFakeBackend(t).member("b"))
+	phases := r.controlPhaseEnds()
 	r.stop()
-	close(phases[reading])
-	r.untilRefused()
-	if err := wait(t, "the end", r.ended); err != nil {
+	close(phases[phaseRead])
+	r.waitForListenerClose()
+	if err := wait(t, "the end", r.serveDone); err != nil {
 		t.Error(err)
 	}
 }
 
 // A process that was held up finds all its times over at once: what it has read
 // is answered all the same before it closes.
-func TestAnswersComeFirstWhenAllTimesAreOver(t *testing.T) {
-	b := newBackend(t)
+func TestStopAnswersAfterAllPhasesExpired(t *testing.T) {
+	b := newFakeBackend(t)
 	r := newRig(t, func(cfg *Config) { cfg.Choice.Probing = false }, b.member("b"))
-	r.server.plan = func(begun time.Time, _ time.Duration) shutdown.Schedule {
-		over := begun.Add(-time.Millisecond)
-		return shutdown.Schedule{RequestedAt: over, AcceptUntil: over, AnswerBy: over, ReadUntil: over, CloseBy: over, KillAt: over}
+	r.server.newSchedule = func(requestedAt time.Time, _ time.Duration) shutdown.Schedule {
+		expired := requestedAt.Add(-time.Millisecond)
+		return shutdown.Schedule{RequestedAt: expired, AcceptUntil: expired, AnswerBy: expired, ReadUntil: expired, CloseBy: expired, KillAt: expired}
 	}
-	waiting, halfway := r.dial(), r.dial()
-	pay(waiting)
-	wait(t, "the request", b.got)
-	half(halfway)
-	r.eventually("half the command to be read", func(*loop) bool { return !r.unreadOf(halfway) })
+	pending, partial := r.dial(), r.dial()
+	sendPayment(pending)
+	wait(t, "the request", b.commands)
+	sendPartialCommand(partial)
+	r.eventually("half the command to be read", func(*loop) bool { return !r.hasUnreadInput(partial) })
 	r.stop()
-	waiting.wantAll(failure)
-	halfway.wantAll(refusal)
-	if err := wait(t, "the end", r.ended); err != nil {
+	pending.wantLinesThenClose(failedLine)
+	partial.wantLinesThenClose(busyLine)
+	if err := wait(t, "the end", r.serveDone); err != nil {
 		t.Error(err)
 	}
 }
 
 // A command that was read and has no place yet is started after the last read,
 // and nothing behind it is read meanwhile: there is no time left for its answer.
-func TestHeldCommandIsStartedAndNothingBehindItRead(t *testing.T) {
-	r := newRig(t, nil, newBackend(t).member("b"))
+func TestBlockedCommandStartsAfterReadingStopped(t *testing.T) {
+	r := newRig(t, nil, newFakeBackend(t).member("b"))
 	b := newConnFixture(t)
 	c := newClient(r.server, b.nc)
 	c.draining, c.firstCommandOnly, c.readingStopped = true, true, true
 	c.pending = make([]*slot, maxPipelinedCommands)
-	first, behind := encode("PING"), encode("PING")
-	fmt.Fprint(b.peer, first)
+	blocked, later := encode("PING"), encode("PING")
+	fmt.Fprint(b.peer, blocked)
 	r.eventually("the command to come", func(*loop) bool { return hasUnreadBytes(b.nc) })
-	taken := make(chan error, 1)
-	go func() { taken <- c.readCommands() }()
-	isHeld := func() bool {
+	readDone := make(chan error, 1)
+	go func() { readDone <- c.readCommands() }()
+	isBlocked := func() bool {
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		return c.pipelineFull
 	}
-	r.eventually("the command to be held", func(*loop) bool { return isHeld() })
-	fmt.Fprint(b.peer, behind)
+	r.eventually("the command to be held", func(*loop) bool { return isBlocked() })
+	fmt.Fprint(b.peer, later)
 	r.eventually("what is behind to come", func(*loop) bool { return hasUnreadBytes(b.nc) })
 	c.mu.Lock() // as the writer does
 	c.pending, c.pipelineFull = nil, false
 	c.mu.Unlock()
 	notify(c.slotFreed)
-	if err := wait(t, "the reader's end", taken); !errors.Is(err, errReadingStopped) {
+	if err := wait(t, "the reader's end", readDone); !errors.Is(err, errReadingStopped) {
 		t.Errorf("the reader ends with %v", err)
 	}
 	if got := readUnread(t, b.peer, len("+PONG\r\n")); got != "+PONG\r\n" {
@@ -309,8 +311,8 @@
 // An answer that the client's machine has not taken yet is not thrown away by the
 // end of its connection, though bytes cross it that nobody reads: the reset that
 // these cause waits for the answer.
-func TestAnswerThatIsNotTakenOutlastsTheLinger(t *testing.T) {
-	r := newRig(t, nil, newBackend(t).member("b"))
+func TestLingerWaitsForUndeliveredAnswer(t *testing.T) {
+	r := newRig(t, nil, newFakeBackend(t).member("b"))
 	b := newConnFixture(t)
 	c := newClient(r.server, b.nc)
 	answers, stuck := 0, 0
@@ -332,27 +334,27 @@
 		return !sending && stuck > 10 // not for a moment only
 	})
 	fmt.Fprint(b.peer, encode("PING")) // it crosses the end
-	over := make(chan struct{})
+	closed := make(chan struct{})
 	go func() {
 		c.flushAndLinger()
 		c.nc.Close()
-		close(over)
+		close(closed)
 	}()
 	select {
-	case <-over: // the connection is closed under its answer
+	case <-closed: // the connection is closed under its answer
 	case <-time.After(2 * lingerTimeout):
 	}
 	got := make([]byte, answers*maxValueBytes)
 	if n, err := io.ReadFull(b.peer, got); err != nil {
 		t.Errorf("the client gets %d of %d bytes, %v", n, len(got), err)
 	}
-	wait(t, "the end of the connection", over)
+	wait(t, "the end of the connection", closed)
 }
 
 // A connection that clients open late, with its first command written before the
 // reader looks, is answered though nothing more is read.
-func TestFirstCommandThatHasComeIsAnsweredAtTheEnd(t *testing.T) {
-	r := newRig(t, nil, newBackend(t).member("b"))
+func TestArrivedFirstCommandIsAnsweredAfterReadingStopped(t *testing.T) {
+	r := newRig(t, nil, newFakeBackend(t).member("b"))
 	b := newConnFixture(t)
 	fmt.Fprint(b.peer, encode("PING"))
 	for b.nothingToRead() { // until it has come
@@ -366,8 +368,8 @@
 	}
 }
 
-// unreadOf tells whether bytes of a client wait on its connection.
-func (r *rig) unreadOf(c *fakeClient) bool {
+// hasUnreadInput tells whether bytes of a client wait on its connection.
+func (r *rig) hasUnreadInput(c *fakeClient) bool {
 	r.server.mu.Lock()
 	defer r.server.mu.Unlock()
 	for other := range r.server.clients {
@@ -378,8 +380,8 @@
 	return false
 }
 
-// wantAll waits for these lines, and then the end of the connection.
-func (c *fakeClient) wantAll(lines ...string) {
+// wantLinesThenClose waits for these lines, and then the end of the connection.
+func (c *fakeClient) wantLinesThenClose(lines ...string) {
 	c.t.Helper()
 	all, err := io.ReadAll(c.in)
 	if err != nil {
@@ -397,68 +399,68 @@
 // No other ending costs a client that stays anything: what waits is answered by
 // the backend that has it, the rest of a command is taken, and connections at
 // rest serve on.
-func TestOtherEndingsOweNobodyAnything(t *testing.T) {
-	for name, end := range map[string]func(r *rig, has, other *fakeBackend){
+func TestUnrelatedClosesDoNotAffectClients(t *testing.T) {
+	for name, disturb := range map[string]func(r *rig, has, other *fakeBackend){
 		"a new configuration": func(r *rig, has, other *fakeBackend) {
 			next := newFakeDiscovery(r.T, has.member("1"), other.member("2"))
-			next.agent.Store(true)
-			close(next.gate)
+			next.sendKeepAlives.Store(true)
+			close(next.listGate)
 			cfg := *r.server.cfg
 			cfg.Discovery = next.Listener.Addr().String()
 			r.server.Reload(cfg)
-			wait(r.T, "a watch at the new address", next.watched)
+			wait(r.T, "a watch at the new address", next.watchIndexes)
 		},
 		"the end of the watch": func(r *rig, _, _ *fakeBackend) {
-			wait(r.T, "a watch", r.discovery.watched)
-			r.discovery.lines <- "end"
-			wait(r.T, "another watch", r.discovery.watched)
+			wait(r.T, "a watch", r.discovery.watchIndexes)
+			r.discovery.watchLines <- "end"
+			wait(r.T, "another watch", r.discovery.watchIndexes)
 		},
 		"a drain of the backend": func(r *rig, has, other *fakeBackend) {
 			draining := has.member("1")
 			draining.Phase = membership.PhaseDraining
-			r.tell(membership.List{Revision: 8, Complete: true, Members: []*membership.Member{draining, other.member("2")}})
+			r.applyList(membership.List{Revision: 8, Complete: true, Members: []*membership.Member{draining, other.member("2")}})
 		},
 		"the removal of the backend": func(r *rig, _, other *fakeBackend) {
-			r.tell(membership.List{Revision: 8, Complete: true, Members: []*membership.Member{other.member("2")}})
+			r.applyList(membership.List{Revision: 8, Complete: true, Members: []*membership.Member{other.member("2")}})
 		},
 		"the eviction of another client": func(r *rig, _, _ *fakeBackend) {
 			idle := r.dial()
-			pingFirst(idle)
+			exchangePing(idle)
 			r.server.mu.Lock()
 			for c := range r.server.clients {
 				if c.nc.RemoteAddr().String() == idle.nc.LocalAddr().String() {
 					c.evict()
-					r.server.leaving++
+					r.server.evicting++
 				}
 			}
 			r.server.mu.Unlock()
-			idle.wantEnd()
+			idle.wantClosed()
 		},
 		"another client's close": func(r *rig, _, _ *fakeBackend) { r.dial().nc.Close() },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			has, other := newBackend(t), newBackend(t)
+			has, other := newFakeBackend(t), newFakeBackend(t)
 			r := newRig(t, func(cfg *Config) { cfg.Choice.Probing = false }, has.member("1"))
-			waiting, halfway, used, fresh := r.dial(), r.dial(), r.dial(), r.dial()
-			pingFirst(used)
-			pay(waiting)
-			got := wait(t, "the request", has.got)
-			command := encode("Q.ASK", anyone, newID(), lookup)
-			halfway.write(command[:40])
-			r.eventually("half the command to be read", func(*loop) bool { return !r.unreadOf(halfway) })
-			r.tell(membership.List{Revision: 7, Complete: true, Members: []*membership.Member{has.member("1"), other.member("2")}})
-			end(r, has, other)
-			got.answer("first")
-			waiting.want("$5\r\nfirst")
+			pending, partial, used, unused := r.dial(), r.dial(), r.dial(), r.dial()
+			exchangePing(used)
+			sendPayment(pending)
+			got := wait(t, "the request", has.commands)
+			command := encode("Q.ASK", testCustomer, newRequestID(), lookupOptions)
+			partial.write(command[:40])
+			r.eventually("half the command to be read", func(*loop) bool { return !r.hasUnreadInput(partial) })
+			r.applyList(membership.List{Revision: 7, Complete: true, Members: []*membership.Member{has.member("1"), other.member("2")}})
+			disturb(r, has, other)
+			got.replyValue("first")
+			pending.wantLine("$5\r\nfirst")
 			for _, b := range []*fakeBackend{has, other} {
-				go b.each(t, func(got received) { got.answer("v") })
+				go b.handleEach(t, func(got receivedCommand) { got.replyValue("v") })
 			}
-			halfway.write(command[40:])
-			halfway.want("$1\r\nv")
-			for _, c := range []*fakeClient{used, fresh, waiting} {
-				ask(c)
-				c.want("$1\r\nv")
+			partial.write(command[40:])
+			partial.wantLine("$1\r\nv")
+			for _, c := range []*fakeClient{used, unused, pending} {
+				sendLookup(c)
+				c.wantLine("$1\r\nv")
 			}
 		})
 	}
--- a/internal/ingress/size_test.go
+++ b/internal/ingress/size_test.go
@@ -24,7 +24,7 @@
 func TestMemoryOfThousandBackendsAndIngresses(t *testing.T) {
 	const size, memoryLimit = 1024, 64 << 20
 	before := heapInUse()
-	b := newBackend(t)
+	b := newFakeBackend(t)
 	members := []*membership.Member{b.member("real")}
 	for i := 1; i < size; i++ { // no backend listens on these addresses
 		members = append(members, &membership.Member{ID: fmt.Sprintf("s-%08x", i), HostPort: fmt.Sprintf("127.0.0.1:%d", i),
@@ -40,18 +40,18 @@
 		r.eventually(fmt.Sprint(want, " backends"), func(l *loop) bool { return len(l.pool.byName) == want })
 	}
 	waitForBackends(size)
-	wait(t, "a watch", r.discovery.watched)
+	wait(t, "a watch", r.discovery.watchIndexes)
 
 	c := r.dial()
-	wideLookup := strings.Replace(lookup, "spread=1", fmt.Sprintf("spread=%d", size), 1)
+	wideLookup := strings.Replace(lookupOptions, "spread=1", fmt.Sprintf("spread=%d", size), 1)
 	served := 0
 	for i := range 1000 {
-		c.send("Q.ASK", fmt.Sprintf("%016x", 1<<20+i), newID(), wideLookup)
+		c.send("Q.ASK", fmt.Sprintf("%016x", 1<<20+i), newRequestID(), wideLookup)
 		answer := make(chan string, 1)
-		go func() { answer <- c.line() }()
+		go func() { answer <- c.readLine() }()
 		select {
-		case got := <-b.got:
-			got.answer("v")
+		case got := <-b.commands:
+			got.replyValue("v")
 			if line := wait(t, "the answer", answer); line == "$1\r\nv" {
 				served++
 			}
@@ -67,7 +67,7 @@
 			lines = append(lines, fmt.Sprintf(`{"id":"s-%d-%08x","host_port":"127.0.0.1:%d","phase":"DRAINING","size":1}`, revision, i, i))
 		}
 		lines = append(lines, fmt.Sprintf(`{"id":"real","host_port":%q,"phase":"SERVING","size":1}`, b.addr))
-		r.discovery.lines <- fmt.Sprintf(`{"revision":%d,"complete":true,"members":[%s]}`, revision, strings.Join(lines, ","))
+		r.discovery.watchLines <- fmt.Sprintf(`{"revision":%d,"complete":true,"members":[%s]}`, revision, strings.Join(lines, ","))
 	}
 	r.eventually("the last list", func(l *loop) bool { return l.pool.byName["s-27-00000001"] != nil })
 	waitForBackends(size)
--- a/internal/ingress/startdates_test.go
+++ b/internal/ingress/startdates_test.go
@@ -50,23 +50,23 @@
 // The start time that is computed for a backend does not change until discovery reports a
 // new one, whatever else changes: the gateway takes a new start time for a new process.
 func TestStartTimeIsStable(t *testing.T) {
-	r := newRig(t, nil, newBackend(t).member("b"))
+	r := newRig(t, nil, newFakeBackend(t).member("b"))
 	member := func(id string, age time.Duration, size float64) *membership.Member {
 		return &membership.Member{ID: id, HostPort: "127.0.0.1:" + fmt.Sprint(1+len(id)), Phase: membership.PhaseServing,
 			Size: size, UpSince: time.Now().Add(-age).Truncate(time.Hour).UnixMilli()}
 	}
 	startedAt := func(id string) (at time.Duration) {
-		r.ask(func(l *loop) { at = l.pool.byName[id].startedAt })
+		r.runOnLoop(func(l *loop) { at = l.pool.byName[id].startedAt })
 		return at
 	}
 	const day = 24 * time.Hour
 	old := member("old", 10*day, 1)
-	r.tell(membership.List{Revision: 8, Members: []*membership.Member{old}})
+	r.applyList(membership.List{Revision: 8, Members: []*membership.Member{old}})
 	first := startedAt("old")
 	again := *old
 	again.Size = 2
-	r.tell(membership.List{Revision: 9, Members: []*membership.Member{member("newer", 5*day, 1)}})
-	r.tell(membership.List{Revision: 10, Members: []*membership.Member{&again}})
+	r.applyList(membership.List{Revision: 9, Members: []*membership.Member{member("newer", 5*day, 1)}})
+	r.applyList(membership.List{Revision: 10, Members: []*membership.Member{&again}})
 	if got := startedAt("old"); got != first {
 		t.Errorf("a change of the size changes the start time from %v to %v", first, got)
 	}
@@ -75,7 +75,7 @@
 	}
 	restarted := *old
 	restarted.UpSince = time.Now().UnixMilli()
-	r.tell(membership.List{Revision: 11, Members: []*membership.Member{&restarted}})
+	r.applyList(membership.List{Revision: 11, Members: []*membership.Member{&restarted}})
 	if got := startedAt("old"); got <= first {
 		t.Error("a new up_since_ms does not change the start time")
 	}
