--- a/internal/ingress/ingress_test.go
+++ b/internal/ingress/ingress_test.go
@@ -21,9 +21,11 @@
 	"cedarseam/internal/membership"
 )
 
-// testTimeout bounds every wait of the tests; none of them passes by waiting.
+// testTimeout bounds every wait of the tests. A test fails, and never passes, by reaching
+// it.
 const testTimeout = 30 * time.Second
 
+// Arguments of requests. A lookup may run twice, a payment must not.
 const (
 	lookupOptions  = "c=lookup,t=basic,d=20000,units=1,spread=1,first=0"
 	paymentOptions = "c=payment,t=basic,d=20000,units=1,spread=1,first=0"
@@ -31,9 +33,11 @@
 	testRequestID  = "9b1f03aa5c7e2d41"
 )
 
-// newRequestID is the id of a new try.
+// newRequestID returns a random request id.
 func newRequestID() string { return fmt.Sprintf("%016x", rand.Uint64()) }
 
+// settingsFormat is the format of valid settings with both request classes. Its argument
+// is conn_idle_ms.
 const settingsFormat = `{"balancers":1,"self_index":0,"zone":0,"zones":["a"],"kinds":["std"],"tick_ms":2,"discovery":"push",
  "bounds":{"cancelling":true,"conn_idle_ms":%d,"connect_timeout_ms":5000,"max_retry_after_ms":1000,"probing":true,
   "retry_after":true,"second_copies":false,"try_limit":4},
@@ -45,30 +49,36 @@
  "specifics":{"max_units":1,"use_period_ms":500},
  "tiers_of_service":[{"name":"basic","quota_rate":1000,"burst":1000,"price":1}],"weights":"nominal"}`
 
-// receivedCommand is one command that came to a backend.
+// receivedCommand is a command that a fake backend has received.
 type receivedCommand struct {
-	nc   net.Conn
+	nc   net.Conn // the connection on which it arrived
 	args []string
 }
 
+// replyValue answers with a value, and without a usage report and a load report.
 func (r receivedCommand) replyValue(value string) {
 	fmt.Fprintf(r.nc, "*3\r\n$%d\r\n%s\r\n$-1\r\n$-1\r\n", len(value), value)
 }
+
+// replyLine answers with a line of text as it is.
 func (r receivedCommand) replyLine(text string) { fmt.Fprintf(r.nc, "%s\r\n", text) }
+
+// reset closes the connection with a TCP reset.
 func (r receivedCommand) reset() {
 	r.nc.(*net.TCPConn).SetLinger(0)
 	r.nc.Close()
 }
 
-// fakeBackend hands each command to the test, which answers it. Probes it
-// answers itself.
+// fakeBackend is a backend that passes each command to the test, which answers it. It
+// answers probes itself.
 type fakeBackend struct {
 	addr     string
 	commands chan receivedCommand
-	closed   chan net.Conn // connections that the ingress has ended
-	opened   chan net.Conn
+	closed   chan net.Conn // connections that the ingress has closed
+	opened   chan net.Conn // connections that the backend has accepted
 }
 
+// newFakeBackend returns a backend that serves on a local port.
 func newFakeBackend(t *testing.T) *fakeBackend {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -92,6 +102,7 @@
 	return b
 }
 
+// serve reads commands from a connection until it is closed.
 func (b *fakeBackend) serve(nc net.Conn) {
 	reader := redcon.NewReader(nc)
 	for {
@@ -113,25 +124,30 @@
 	}
 }
 
+// member returns the entry of the backend in a list of discovery.
 func (b *fakeBackend) member(id string) *membership.Member {
-	return &membership.Member{ID: id, HostPort: b.addr, Locality: "a", Flavor: "std", Phase: membership.PhaseServing, Size: 1}
+	return &membership.Member{ID: id, HostPort: b.addr, Locality: "a", Flavor: "std",
+		Phase: membership.PhaseServing, Size: 1}
 }
 
-// fakeDiscovery serves one list, and watches fed by the test.
+// fakeDiscovery is a discovery service with one list. The test writes the lines of its
+// watches.
 type fakeDiscovery struct {
 	*httptest.Server
-	watchLines     chan string   // the next lines of the watch now open
-	watchIndexes   chan string   // the index from which each watch began
-	listGate       chan struct{} // closed when the list may be told
+	watchLines     chan string   // lines to send on the open watch; "end" closes it
+	watchIndexes   chan string   // the index of each watch that was opened
+	listGate       chan struct{} // requests for the list wait until it is closed
 	done           chan struct{} // closed at the end of the test
-	sendKeepAlives atomic.Bool   // a watch says at once, and again and again, that nothing has changed
+	sendKeepAlives atomic.Bool   // each watch begins with an empty line and repeats it
 	mu             sync.Mutex
 	list           membership.List
 }
 
+// newFakeDiscovery returns a discovery service that lists these members.
 func newFakeDiscovery(t *testing.T, members ...*membership.Member) *fakeDiscovery {
-	d := &fakeDiscovery{watchLines: make(chan string), watchIndexes: make(chan string, 100), listGate: make(chan struct{}),
-		done: make(chan struct{}), list: membership.List{Revision: 7, Complete: true, Members: members}}
+	d := &fakeDiscovery{watchLines: make(chan string), watchIndexes: make(chan string, 100),
+		listGate: make(chan struct{}), done: make(chan struct{}),
+		list: membership.List{Revision: 7, Complete: true, Members: members}}
 	d.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Query().Get("stream") == "" {
 			select {
@@ -177,15 +193,17 @@
 	return d
 }
 
-// rig is an ingress between fakes.
+// rig is an ingress with a fake discovery service, and with helpers for its clients.
 type rig struct {
 	*testing.T
 	server    *Server
 	discovery *fakeDiscovery
-	stop      context.CancelFunc
-	serveDone chan error
+	stop      context.CancelFunc // requests the shutdown
+	serveDone chan error         // receives the result of Serve
 }
 
+// newRig returns a running ingress that is ready. configure, unless nil, changes the
+// configuration first.
 func newRig(t *testing.T, configure func(*Config), members ...*membership.Member) *rig {
 	t.Helper()
 	d := newFakeDiscovery(t, members...)
@@ -200,6 +218,7 @@
 	return r
 }
 
+// startRig starts an ingress with a discovery service, and does not wait until it is ready.
 func startRig(t *testing.T, d *fakeDiscovery, configure func(*Config)) *rig {
 	t.Helper()
 	cfg, err := ParseConfig(fmt.Appendf(nil, `{"name":"n0","listen":"127.0.0.1:0","seed":"1","settings":%s}`,
@@ -231,14 +250,14 @@
 	return r
 }
 
-// runOnLoop runs f on the loop's goroutine and waits for it.
+// runOnLoop runs f on the loop's goroutine and waits until it returns.
 func (r *rig) runOnLoop(f func(l *loop)) {
 	done := make(chan struct{})
 	r.server.loop.post(func(l *loop) { f(l); close(done) })
 	<-done
 }
 
-// applyList takes a list as if discovery had told it, and returns once it is in force.
+// applyList handles a list as if it came from discovery, and returns once it is applied.
 func (r *rig) applyList(list membership.List) {
 	s := r.server.sources
 	s.mu.Lock()
@@ -247,12 +266,14 @@
 	s.handleList(current, list)
 }
 
+// fakeClient is a connection to the ingress on which the test plays the client.
 type fakeClient struct {
 	t  *testing.T
 	nc net.Conn
 	in *bufio.Reader
 }
 
+// dial opens a connection to the ingress.
 func (r *rig) dial() *fakeClient {
 	r.Helper()
 	nc, err := net.Dial("tcp", r.server.Addr().String())
@@ -264,6 +285,7 @@
 	return &fakeClient{r.T, nc, bufio.NewReader(nc)}
 }
 
+// encode encodes a command.
 func encode(words ...string) string {
 	b := redcon.AppendArray(nil, len(words))
 	for _, w := range words {
@@ -272,8 +294,10 @@
 	return string(b)
 }
 
+// send sends a command.
 func (c *fakeClient) send(words ...string) { c.write(encode(words...)) }
 
+// write sends bytes as they are.
 func (c *fakeClient) write(text string) {
 	c.t.Helper()
 	if _, err := io.WriteString(c.nc, text); err != nil {
@@ -281,23 +305,24 @@
 	}
 }
 
-// readLine reads one answer: the readLine, and the value where it is a bulk string.
+// readLine reads one answer: its line, followed by the value of a bulk string.
 func (c *fakeClient) readLine() string {
 	c.t.Helper()
 	s, err := c.in.ReadString('\n')
 	if err != nil {
-		c.t.Fatalf("no answer: %v", err)
+		c.t.Fatalf("reading an answer: %v", err)
 	}
 	if strings.HasPrefix(s, "$") {
 		v, err := c.in.ReadString('\n')
 		if err != nil {
-			c.t.Fatalf("half an answer: %v", err)
+			c.t.Fatalf("reading the value of an answer: %v", err)
 		}
 		s += v
 	}
 	return strings.TrimSpace(s)
 }
 
+// wantLine reads one answer and compares it.
 func (c *fakeClient) wantLine(text string) {
 	c.t.Helper()
 	if got := c.readLine(); got != text {
@@ -305,29 +330,31 @@
 	}
 }
 
-// wantClosed waits for the ingress to close the connection without another byte.
+// wantClosed waits until the ingress closes the connection without sending another byte.
 func (c *fakeClient) wantClosed() {
 	c.t.Helper()
 	if rest, err := io.ReadAll(c.in); err != nil || len(rest) > 0 {
-		c.t.Fatalf("the connection gave %q, %v; want its end", rest, err)
+		c.t.Fatalf("read %q, %v; want the end of the connection", rest, err)
 	}
 }
 
+// wait receives a value. what describes the value in the message of a time-out.
 func wait[T any](t *testing.T, what string, ch <-chan T) (v T) {
 	t.Helper()
 	select {
 	case v = <-ch:
 	case <-time.After(testTimeout):
-		t.Fatalf("waited in vain for %s", what)
+		t.Fatalf("timed out waiting for %s", what)
 	}
 	return v
 }
 
+// wantNone checks that no value is queued on the channel. what describes such a value.
 func wantNone[T any](t *testing.T, what string, ch <-chan T) {
 	t.Helper()
 	select {
 	case <-ch:
-		t.Fatalf("there is %s, want none", what)
+		t.Fatalf("got %s, want none", what)
 	default:
 	}
 }
--- a/internal/ingress/log_test.go
+++ b/internal/ingress/log_test.go
@@ -10,7 +10,7 @@
 	"cedarseam/internal/eventlog"
 )
 
-// syncBuffer is a log that is written and read at the same time.
+// syncBuffer is a buffer for a log that is written and read concurrently.
 type syncBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
@@ -28,8 +28,8 @@
 	return b.text.String()
 }
 
-// The log tells what became of a request: who sent it, each attempt and why it
-// ended, the final answer, and why connections closed.
+// The log records the life of a request: its client, each attempt with its outcome, the
+// final answer, and why connections closed.
 func TestLogRecordsRequestLifecycle(t *testing.T) {
 	var log syncBuffer
 	b := newFakeBackend(t)
@@ -39,18 +39,20 @@
 	wait(t, "the first attempt", b.commands).replyLine("-BUSY")
 	wait(t, "the second attempt", b.commands).replyValue("v")
 	c.wantLine("$1\r\nv")
-	c.send("Q.ASK", testCustomer, newRequestID(), "c=lookup,t=basic,d=20000,units=1,spread=1,first=0,x=")
+	c.send("Q.ASK", testCustomer, newRequestID(),
+		"c=lookup,t=basic,d=20000,units=1,spread=1,first=0,x=")
 	wait(t, "the next request", b.commands).replyLine("-ERR failed")
-	wait(t, "its further attempt", b.commands).reset()
+	wait(t, "its second attempt", b.commands).reset()
 	c.nc.Close()
-	r.eventually("the connection to be gone", func(*loop) bool {
+	r.eventually("the connection to be removed", func(*loop) bool {
 		r.server.mu.Lock()
 		defer r.server.mu.Unlock()
 		return len(r.server.clients) == 0
 	})
 	for _, want := range []string{
 		`client opened" client=\d+`,
-		fmt.Sprintf(`request taken" request=%s client=\d+ class=0 customer=%s left_ms=19\d+`, testRequestID, testCustomer),
+		fmt.Sprintf(`request taken" request=%s client=\d+ class=0 customer=%s left_ms=19\d+`,
+			testRequestID, testCustomer),
 		fmt.Sprintf(`attempt sent" request=%s attempt=0 backend=s-1 kind=first`, testRequestID),
 		fmt.Sprintf(`attempt ended" request=%s attempt=0 backend=s-1 status=refused`, testRequestID),
 		fmt.Sprintf(`attempt sent" request=%s attempt=1 backend=s-1 kind=retry`, testRequestID),
@@ -60,7 +62,7 @@
 		`backend connection closed" backend=s-1 reason=`,
 	} {
 		if !regexp.MustCompile(want).MatchString(log.String()) {
-			t.Errorf("the log lacks %q", want)
+			t.Errorf("no log line matches %q", want)
 		}
 	}
 	if t.Failed() {
--- a/internal/ingress/loop.go
+++ b/internal/ingress/loop.go
@@ -14,29 +14,38 @@
 )
 
 const (
+	// eventQueueSize is how many events may wait for the loop before post blocks.
 	eventQueueSize = 1024
-	// maxDeadlineMargin is kept back from a client's time, so that an answer given
-	// at the end of it still arrives before the client gives up.
-	maxDeadlineMargin     = 15 * time.Millisecond
-	deadlineMarginDivisor = 10 // at most this part of the time is kept back
-	probeTimeout          = 250 * time.Millisecond
-	clientMemoryDivisor   = 6           // what is held for clients may take this part of the memory
-	requestIDMargin       = time.Second // ids are known for so long beyond the longest time of a request
+	// maxDeadlineMargin is subtracted from a client's time limit, so that an answer
+	// given at the deadline still arrives before the client times out.
+	maxDeadlineMargin = 15 * time.Millisecond
+	// deadlineMarginDivisor limits the margin: it is at most 1/deadlineMarginDivisor of the
+	// time limit.
+	deadlineMarginDivisor = 10
+	// probeTimeout is how long a backend may take to answer a probe.
+	probeTimeout = 250 * time.Millisecond
+	// clientMemoryDivisor limits the data held for clients to 1/clientMemoryDivisor of the
+	// memory limit.
+	clientMemoryDivisor = 6
+	// requestIDMargin is how much longer than the longest deadline a request id is
+	// remembered.
+	requestIDMargin = time.Second
 )
 
-// An event is something that happened, told to the goroutine that owns the gateway.
+// event is a function that the loop runs on its goroutine, which owns the gateway.
 type event func(*loop)
 
-// loop owns the gateway and all that is decided by it. Only its own goroutine,
-// in run, touches its fields, but for post and ready.
+// loop is the event loop that owns the gateway, the open requests and the pool of
+// backend connections. Only its own goroutine, in run, accesses its state; other
+// goroutines use post, done, ready and memory.
 type loop struct {
 	cfg                *Config
 	gateway            *choice.Gateway
-	clockStart         time.Time // the zero of the gateway's clock
+	clockStart         time.Time // time zero of the gateway's clock
 	events             chan event
-	done               chan struct{} // closed when run has ended
-	ready              atomic.Bool   // discovery was asked and backends are known
-	discoveryAttempted bool          // discovery was asked at least once
+	done               chan struct{} // closed when run returns
+	ready              atomic.Bool   // discovery was tried and a backend is available
+	discoveryAttempted bool          // the first call to discovery has ended or timed out
 	pool               *pool
 	requests           map[uint32]*request
 	lastRequestID      uint32
@@ -45,24 +54,27 @@
 	startAges          startAgeEstimator
 }
 
-// request is one try of a client, from its last byte to its final answer and
-// the end of its last attempt.
+// request is one request of a client. It exists from the arrival of its last byte until
+// its final answer is given and its last attempt has ended.
 type request struct {
 	*command
-	id       uint32 // the gateway's: the clients' ids are longer
-	size     int
+	id       uint32 // identifies the request in the gateway, unlike the client's 64-bit requestID
+	size     int    // bytes reserved in the memory budget
 	client   *client
 	slot     *slot
 	deadline time.Time
-	finished bool // it has its final answer, or its client is gone
-	attempts []*attempt
-	inFlight int
+	finished bool       // has its final answer, or the client has disconnected
+	attempts []*attempt // all attempts so far, indexed by their number
+	inFlight int        // attempts that have not ended
 }
 
+// newLoop returns the loop of a configuration, which run then runs.
 func newLoop(cfg *Config) (*loop, error) {
 	l := &loop{
-		cfg: cfg, clockStart: time.Now(), events: make(chan event, eventQueueSize), done: make(chan struct{}),
-		requests: map[uint32]*request{}, memory: &memoryBudget{limit: int64(cfg.Limits.MemoryMB) << 20 / clientMemoryDivisor},
+		cfg: cfg, clockStart: time.Now(),
+		events: make(chan event, eventQueueSize), done: make(chan struct{}),
+		requests: map[uint32]*request{},
+		memory:   &memoryBudget{limit: int64(cfg.Limits.MemoryMB) << 20 / clientMemoryDivisor},
 	}
 	longestDeadline := time.Duration(0)
 	for _, c := range cfg.Choice.Classes {
@@ -81,7 +93,8 @@
 	return l, nil
 }
 
-// post hands the loop an event. It may block, so the loop itself never calls it.
+// post queues an event for the loop. It blocks while the queue is full, so the loop's
+// own goroutine must not call it. Once the loop has stopped, the event is dropped.
 func (l *loop) post(e event) {
 	select {
 	case l.events <- e:
@@ -89,7 +102,7 @@
 	}
 }
 
-// run handles events until stop is closed, and those that came before.
+// run handles events until stop is closed, and then those that are still queued.
 func (l *loop) run(stop <-chan struct{}) {
 	defer close(l.done)
 	for {
@@ -105,10 +118,11 @@
 	}
 }
 
-// now is the gateway's clock, monotonic.
+// now returns the time of the gateway's clock, which is monotonic.
 func (l *loop) now() time.Duration { return time.Since(l.clockStart) }
 
-// startRequest takes a client's try.
+// startRequest passes a new request of a client to the gateway. A request with the id
+// of another recent one is rejected.
 func (l *loop) startRequest(r *request) {
 	l.lastRequestID++
 	for l.requests[l.lastRequestID] != nil {
@@ -118,7 +132,8 @@
 	l.requests[r.id] = r
 	now := l.now()
 	if !l.recentIDs.add(r.requestID, now) {
-		// The copy of another's open request: its value belongs to that one alone.
+		// Clients choose a new id for every retry, so this request comes from somebody
+		// else, who must not receive the value of the first.
 		r.client.invalidCommands.Add(1)
 		l.logFinished(r, "failed", "the id is in use", 0)
 		l.answer(r, redcon.AppendError(nil, "ERR the request id is in use"))
@@ -126,7 +141,8 @@
 		return
 	}
 	timeLeft := time.Until(r.deadline)
-	l.cfg.Log.RequestReceived(eventlog.RequestReceived{Request: r.requestID, Client: r.client.id, Class: r.class, Customer: r.customer, TimeLeft: timeLeft})
+	l.cfg.Log.RequestReceived(eventlog.RequestReceived{Request: r.requestID, Client: r.client.id,
+		Class: r.class, Customer: r.customer, TimeLeft: timeLeft})
 	l.gateway.Request(now, choice.Request{
 		ID: r.id, Class: r.class, Plan: r.plan, Customer: r.customer, TimeLeft: timeLeft,
 		Units: r.units, SetSize: r.spread, SetStart: r.first, ClientRetry: r.repeat,
@@ -134,14 +150,15 @@
 	l.removeIfDone(r)
 }
 
-// recentIDs knows the clients' ids for a span at least, and for two at most.
+// recentIDs remembers the request ids of clients for at least the retention time, and
+// for at most twice that.
 type recentIDs struct {
 	retention         time.Duration
 	rotatedAt         time.Duration
 	current, previous map[uint64]struct{}
 }
 
-// add returns false if the id is known.
+// add records an id. It returns false if the id is already known.
 func (r *recentIDs) add(id uint64, now time.Duration) bool {
 	if r.current == nil || now-r.rotatedAt >= r.retention {
 		r.previous, r.current, r.rotatedAt = r.current, map[uint64]struct{}{}, now
@@ -154,12 +171,14 @@
 	return len(r.current) > n
 }
 
+// remove makes an id unknown again.
 func (r *recentIDs) remove(id uint64) {
 	delete(r.current, id)
 	delete(r.previous, id)
 }
 
-// removeIfDone drops a request that is over and has nothing out.
+// removeIfDone removes a request that is finished and has no attempt in flight, and
+// releases its memory.
 func (l *loop) removeIfDone(r *request) {
 	if r.finished && r.inFlight == 0 && l.requests[r.id] == r {
 		delete(l.requests, r.id)
@@ -167,14 +186,14 @@
 	}
 }
 
-// handleDisconnect ends the open requests of a client that has left.
+// handleDisconnect finishes the open requests of a client that has disconnected.
 func (l *loop) handleDisconnect(c *client) {
 	for _, r := range c.dropPending() {
 		if !r.finished {
 			l.logFinished(r, "gone", "the client has left", 0)
 			l.finish(r)
 			if len(r.attempts) == 0 {
-				l.recentIDs.remove(r.requestID) // nothing was sent on: it may come again
+				l.recentIDs.remove(r.requestID) // not sent to any backend: the client may send it again
 			}
 			l.gateway.ClientDisconnected(l.now(), r.id)
 			l.removeIfDone(r)
@@ -182,7 +201,9 @@
 	}
 }
 
-// handleAttemptEnd takes the end of an attempt. c is its connection if that can be used again.
+// handleAttemptEnd reports the outcome of an attempt or a probe to the gateway, and
+// answers the request if the attempt succeeded. c is the attempt's connection, or nil if
+// that can't be reused.
 func (l *loop) handleAttemptEnd(a *attempt, answer reply, elapsed time.Duration, c *conn) {
 	l.pool.recordReuseOutcome(a, answer.status)
 	switch {
@@ -199,28 +220,31 @@
 	r := a.request
 	r.inFlight--
 	if l.cfg.Log.Detailed() {
-		l.cfg.Log.AttemptEnded(eventlog.AttemptEnded{Request: r.requestID, Attempt: a.number, Backend: a.backend.name,
-			Status: answer.status.String(), Elapsed: elapsed, Reusable: c != nil && !a.dedicatedConn})
+		l.cfg.Log.AttemptEnded(eventlog.AttemptEnded{Request: r.requestID, Attempt: a.number,
+			Backend: a.backend.name, Status: answer.status.String(), Elapsed: elapsed,
+			Reusable: c != nil && !a.dedicatedConn})
 	}
 	if answer.status == choice.OK {
 		l.logFinished(r, "served", a.backend.name, 0)
 		l.answer(r, answer.value)
 	}
 	l.gateway.Outcome(l.now(), choice.Outcome{
-		ID: r.id, Attempt: a.number, Backend: a.backend.id, Status: answer.status, Elapsed: elapsed, Answered: r.finished,
-		Metered: answer.metered, Used: answer.used, Load: answer.load,
+		ID: r.id, Attempt: a.number, Backend: a.backend.id, Status: answer.status, Elapsed: elapsed,
+		Answered: r.finished, Metered: answer.metered, Used: answer.used, Load: answer.load,
 	})
 	l.removeIfDone(r)
 }
 
-// logFinished writes that a request has its final answer, if it had none.
+// logFinished logs the final outcome of a request, unless the request is unknown or
+// already finished. The caller finishes the request afterwards.
 func (l *loop) logFinished(r *request, outcome, reason string, retryAfter time.Duration) {
 	if r != nil && !r.finished && l.cfg.Log.Detailed() {
-		l.cfg.Log.RequestFinished(eventlog.RequestFinished{Request: r.requestID, Outcome: outcome, Reason: reason, RetryAfter: retryAfter, Attempts: len(r.attempts)})
+		l.cfg.Log.RequestFinished(eventlog.RequestFinished{Request: r.requestID, Outcome: outcome,
+			Reason: reason, RetryAfter: retryAfter, Attempts: len(r.attempts)})
 	}
 }
 
-// answer gives a request its one final answer.
+// answer finishes a request with its final answer. Further answers are dropped.
 func (l *loop) answer(r *request, data []byte) {
 	if r == nil || r.finished {
 		return
@@ -229,8 +253,8 @@
 	r.client.fill(r.slot, data)
 }
 
-// finish marks a request as over. Whether what is out for it is called off is the
-// gateway's to decide; what is not yet written goes out no more.
+// finish marks a request as finished. Attempts that are not yet written to a backend are
+// cancelled; the gateway decides whether to cancel those in flight.
 func (l *loop) finish(r *request) {
 	r.finished = true
 	for _, a := range r.attempts {
@@ -238,9 +262,10 @@
 	}
 }
 
-// applyInBatches hands the loop what has changed in the list of backends. Other
-// events pass between the parts. It returns once all are in force, and is never
-// called by the loop itself.
+// applyInBatches applies changes of the list of backends on the loop's goroutine. It
+// splits them into batches, so that the loop can handle other events in between. It
+// returns once all changes are applied or the loop has stopped. The loop's own goroutine
+// must not call it.
 func (l *loop) applyInBatches(changes []membership.Change) {
 	for batch := range slices.Chunk(changes, changeBatchSize) {
 		applied := make(chan struct{})
@@ -256,14 +281,15 @@
 	}
 }
 
-// applyChanges takes what has changed in the list of backends.
+// applyChanges applies changes of the list of backends to the pool and the gateway.
 func (l *loop) applyChanges(changes []membership.Change) {
 	if len(changes) == 0 {
 		return
 	}
 	backends := make([]choice.Backend, len(changes))
 	for i, c := range changes {
-		b := choice.Backend{Zone: indexOf(l.cfg.zones, c.Locality), Kind: indexOf(l.cfg.kinds, c.Flavor), Cell: c.Cell, Weight: c.Size}
+		b := choice.Backend{Zone: indexOf(l.cfg.zones, c.Locality), Kind: indexOf(l.cfg.kinds, c.Flavor),
+			Cell: c.Cell, Weight: c.Size}
 		switch c.State {
 		case membership.Serving:
 			b.State = choice.Ready
@@ -273,7 +299,8 @@
 			b.State = choice.Removed
 		}
 		record := l.pool.updateMember(c.Member, b.State)
-		if record.startedFrom != c.UpSince { // once for each start: a new time is a new process to the gateway
+		// Converted only once per start, because the gateway takes a new time for a restart.
+		if record.startedFrom != c.UpSince {
 			record.startedAt, _ = l.startTime(c.UpSince)
 			record.startedFrom = c.UpSince
 		}
@@ -284,22 +311,23 @@
 	l.checkReady()
 }
 
-// markDiscoveryAttempted marks that discovery was asked for the list, whether or not it answered.
+// markDiscoveryAttempted records that discovery was called for the list, whether or not
+// the call succeeded.
 func (l *loop) markDiscoveryAttempted() {
 	l.discoveryAttempted = true
 	l.checkReady()
 }
 
-// checkReady lets clients in once there is a backend. The list of the
-// configuration may be old, so discovery is asked first.
+// checkReady makes the ingress ready once a backend is available. The last known list
+// in the configuration may be stale, so discovery has to be tried first.
 func (l *loop) checkReady() {
 	if l.discoveryAttempted && l.pool.availableBackends > 0 {
 		l.ready.Store(true)
 	}
 }
 
-// startTime turns the start of a backend, in Unix time, into the gateway's
-// clock. 0 stands for long ago.
+// startTime converts the start of a backend from Unix time to the gateway's clock. 0 means
+// that the backend started long ago, at an unknown time.
 func (l *loop) startTime(unixMillis int64) (at time.Duration, known bool) {
 	if unixMillis <= 0 {
 		return 0, false
@@ -309,8 +337,8 @@
 	return now - l.startAges.estimateAge(localAge), true
 }
 
-// indexOf is the place of a name in a list of the settings; a name that is not
-// there is no place of ours.
+// indexOf returns the index of a zone or a kind by its name, or -1 if the settings do not
+// name it.
 func indexOf(indexes map[string]int, name string) int {
 	if i, ok := indexes[name]; ok {
 		return i
@@ -318,9 +346,9 @@
 	return -1
 }
 
-// The gateway's actions.
+// The methods below implement the actions of the gateway.
 
-// Send starts an attempt.
+// Send starts an attempt of a request at a backend.
 func (l *loop) Send(id, backend uint32, timeout time.Duration) {
 	r := l.requests[id]
 	a := &attempt{request: r, number: len(r.attempts), deadline: time.Now().Add(timeout),
@@ -329,11 +357,12 @@
 	r.inFlight++
 	l.pool.startAttempt(a, backend)
 	if l.cfg.Log.Detailed() {
-		l.cfg.Log.AttemptSent(eventlog.AttemptSent{Request: r.requestID, Attempt: a.number, Backend: a.backend.name, Kind: r.lastAttemptKind(), Timeout: timeout})
+		l.cfg.Log.AttemptSent(eventlog.AttemptSent{Request: r.requestID, Attempt: a.number,
+			Backend: a.backend.name, Kind: r.lastAttemptKind(), Timeout: timeout})
 	}
 }
 
-// lastAttemptKind names the attempt that was started last, for the log.
+// lastAttemptKind returns the kind of the latest attempt, as it is logged.
 func (r *request) lastAttemptKind() string {
 	switch {
 	case len(r.attempts) == 1:
@@ -344,13 +373,14 @@
 	return "retry"
 }
 
-// Refuse answers that trying again does no harm.
+// Refuse answers that the client may safely retry the request, after the given time.
 func (l *loop) Refuse(id uint32, retryAfter time.Duration, reason choice.Reason) {
 	l.logFinished(l.requests[id], "refused", reason.String(), retryAfter)
 	l.answer(l.requests[id], busyReply(retryAfter))
 }
 
-// busyReply is the answer that trying again does no harm, with the advice when.
+// busyReply returns the encoded BUSY answer, which tells the client that it may safely
+// retry. It carries the advice when to retry, unless that is below 1 ms.
 func busyReply(retryAfter time.Duration) []byte {
 	line := "BUSY"
 	if ms := retryAfter.Milliseconds(); ms > 0 {
@@ -359,13 +389,13 @@
 	return redcon.AppendError(nil, line)
 }
 
-// Fail answers without a promise.
+// Fail answers with an error, which does not promise that a retry is safe.
 func (l *loop) Fail(id uint32, reason choice.Reason) {
 	l.logFinished(l.requests[id], "failed", reason.String(), 0)
 	l.answer(l.requests[id], redcon.AppendError(nil, "ERR failed"))
 }
 
-// Cancel stops the wait for an attempt. Its end comes as for any other.
+// Cancel aborts an attempt. Its outcome is reported like that of any other attempt.
 func (l *loop) Cancel(id uint32, number int) {
 	if r := l.requests[id]; r != nil && number < len(r.attempts) {
 		r.attempts[number].abort()
@@ -377,7 +407,7 @@
 	l.pool.startAttempt(&attempt{repeatable: true, deadline: time.Now().Add(probeTimeout)}, backend)
 }
 
-// SetTimer sets a timer.
+// SetTimer reports the token back to the gateway after the delay.
 func (l *loop) SetTimer(delay time.Duration, token uint64) {
 	time.AfterFunc(delay, func() {
 		l.post(func(l *loop) { l.gateway.TimerExpired(l.now(), token) })
--- a/internal/ingress/server.go
+++ b/internal/ingress/server.go
@@ -14,34 +14,43 @@
 )
 
 const (
+	// acceptRetryInterval is the pause after a failed accept, or while the limit of
+	// connections is reached.
 	acceptRetryInterval = 5 * time.Millisecond
-	headroomDivisor     = 16                     // of the places for clients, so many are kept free
-	minIdleUsed         = 2 * time.Second        // a connection that has asked may be closed when idle for so long
-	minIdleUnused       = 250 * time.Millisecond // and one that has not when it is so old
+	// headroomDivisor sets the headroom: evictions keep 1/headroomDivisor of a connection
+	// limit free.
+	headroomDivisor = 16
+	// minIdleUsed is how long a connection that has sent a valid request must have been
+	// idle before it may be evicted.
+	minIdleUsed = 2 * time.Second
+	// minIdleUnused is the same for a connection that has never sent one.
+	minIdleUnused = 250 * time.Millisecond
 )
 
-// Server is one running ingress.
+// Server is one ingress: it accepts the connections of clients and serves them.
 type Server struct {
 	*core
-	ln          *net.TCPListener
-	newSchedule func(begun time.Time, longestDeadline time.Duration) shutdown.Schedule
-	phaseEnd    func(phase, shutdown.Schedule) <-chan struct{} // closed at the end of a phase of the stop
+	ln *net.TCPListener
+	// newSchedule plans a shutdown; a variable for tests, like phaseEnd.
+	newSchedule func(requestedAt time.Time, longestDeadline time.Duration) shutdown.Schedule
+	// phaseEnd returns a channel that is closed at the end of a phase of the shutdown.
+	phaseEnd func(phase, shutdown.Schedule) <-chan struct{}
 
-	discoveryAddrs chan string // addresses of discovery to move to
+	discoveryAddrs chan string // new addresses of discovery, from Reload
 
-	lastClientID atomic.Uint64 // the number of the newest connection
+	lastClientID atomic.Uint64 // id of the newest connection
 
 	mu               sync.Mutex
 	clients          map[*client]struct{}
-	evicting         int           // clients that were closed to make room and are not gone yet
-	draining         bool          // connections close between requests
-	drainingBacklog  bool          // the listener closes as soon as nobody waits in its queue
-	readingStopped   bool          // nothing more is read
-	acceptingStopped bool          // no further connection is taken
-	allClientsClosed chan struct{} // closed when stopping and no client is left
+	evicting         int           // clients that are being evicted and not yet removed
+	draining         bool          // connections close when they have no open request
+	drainingBacklog  bool          // the listener closes once its backlog is empty
+	readingStopped   bool          // no connection reads any further command
+	acceptingStopped bool          // no further connection is accepted
+	allClientsClosed chan struct{} // closed when accepting has stopped and no client is left
 }
 
-// Listen makes an ingress and opens its address.
+// Listen returns an ingress that listens on its configured address. Serve then runs it.
 func Listen(cfg Config) (*Server, error) {
 	core, err := newCore(cfg)
 	if err != nil {
@@ -49,14 +58,15 @@
 	}
 	ln, err := listen(net.ListenConfig{}, cfg.Listen, listenTimeout)
 	if err != nil {
-		return nil, fmt.Errorf("clients: %w", err)
+		return nil, fmt.Errorf("listen for clients: %w", err)
 	}
-	return &Server{core: core, ln: ln.(*net.TCPListener), clients: map[*client]struct{}{}, allClientsClosed: make(chan struct{}),
-		newSchedule: shutdown.NewSchedule, phaseEnd: phaseEnd, discoveryAddrs: make(chan string)}, nil
+	return &Server{core: core, ln: ln.(*net.TCPListener), clients: map[*client]struct{}{},
+		allClientsClosed: make(chan struct{}), newSchedule: shutdown.NewSchedule, phaseEnd: phaseEnd,
+		discoveryAddrs: make(chan string)}, nil
 }
 
-// Reload takes what may change while the ingress runs: the address of
-// discovery. All connections and all that is known stay.
+// Reload applies the part of a configuration that may change while the ingress runs: the
+// address of discovery. Connections and the state of the gateway are kept.
 func (s *Server) Reload(cfg Config) {
 	select {
 	case s.discoveryAddrs <- cfg.Discovery:
@@ -64,12 +74,12 @@
 	}
 }
 
-// Addr is the address on which clients are served.
+// Addr returns the address on which clients are served.
 func (s *Server) Addr() net.Addr { return s.ln.Addr() }
 
-// Serve runs the ingress until ctx ends. It then shuts down and returns, before
-// the process may be killed: see package shutdown. A cause of ctx tells when the
-// end was asked for.
+// Serve runs the ingress until ctx ends, then shuts it down and returns before the
+// process may be killed; see package shutdown. The time at which the shutdown was requested
+// is taken from the cause of ctx, if that is a shutdown.RequestedError.
 func (s *Server) Serve(ctx context.Context) error {
 	defer s.start()()
 	go func() {
@@ -93,7 +103,7 @@
 	return nil
 }
 
-// longestDeadline is the longest that a request of the settings may take.
+// longestDeadline returns the longest deadline of all request classes.
 func (s *Server) longestDeadline() (longest time.Duration) {
 	for _, c := range s.cfg.Choice.Classes {
 		longest = max(longest, c.Deadline)
@@ -101,6 +111,8 @@
 	return longest
 }
 
+// accept accepts connections until the listener is closed or, during a shutdown, until
+// its backlog is empty.
 func (s *Server) accept() error {
 	for {
 		s.mu.Lock()
@@ -112,12 +124,12 @@
 		if errors.Is(err, net.ErrClosed) || errors.Is(err, os.ErrDeadlineExceeded) {
 			return nil
 		}
-		if err != nil { // out of descriptors, or a connection that broke at once
+		if err != nil { // out of file descriptors, or the connection broke at once
 			time.Sleep(acceptRetryInterval)
 			continue
 		}
-		// With no room even so, the next ones wait in the listener's queue: to
-		// turn them away would hit usual clients as well.
+		// At the limit, further connections wait in the listener's backlog: rejecting
+		// them would also hit well-behaved clients.
 		for !s.makeRoom() {
 			time.Sleep(acceptRetryInterval)
 		}
@@ -125,14 +137,15 @@
 	}
 }
 
-// makeRoom makes makeRoom for a further connection. Near the limit it closes the one
-// that matters least: first those that have never asked for anything, then the
-// one that has been idle for longest. One with a request open stays.
+// makeRoom reports whether there is room for a further connection. Near the limit it
+// evicts one: first those that have never sent a valid request, then the one that has been
+// idle for longest. Connections with an open request are never evicted.
 func (s *Server) makeRoom() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	maxClients := s.cfg.Limits.maxClients()
-	if s.drainingBacklog || len(s.clients) < maxClients && len(s.clients)-s.evicting < maxClients-maxClients/headroomDivisor {
+	if s.drainingBacklog || len(s.clients) < maxClients &&
+		len(s.clients)-s.evicting < maxClients-maxClients/headroomDivisor {
 		return true
 	}
 	var victim *client
@@ -150,26 +163,29 @@
 	return len(s.clients) < maxClients
 }
 
-// busyReply is the answer to what is refused before it reaches the gateway.
+// busyReply returns the answer to a command that is refused before it reaches the
+// gateway.
 func (s *Server) busyReply() []byte { return busyReply(s.cfg.Choice.RetryAfterHint()) }
 
-// addClient serves a new connection.
+// addClient registers a new connection and starts to serve it.
 func (s *Server) addClient(nc net.Conn) {
 	c := newClient(s, nc)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	c.draining, c.readingStopped = s.draining, s.readingStopped // closes after its first answer
+	// During a shutdown, the connection closes after its first answer.
+	c.draining, c.readingStopped = s.draining, s.readingStopped
 	s.clients[c] = struct{}{}
 	go c.serve()
 }
 
-// cancelEviction tells that a connection that was to make room is in use after all.
+// cancelEviction records that a connection that was to be evicted is in use again.
 func (s *Server) cancelEviction() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.evicting--
 }
 
+// removeClient removes a connection that has been closed.
 func (s *Server) removeClient(c *client) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/ingress/shutdown.go
+++ b/internal/ingress/shutdown.go
@@ -8,22 +8,24 @@
 )
 
 const (
-	backlogIdleTimeout  = 50 * time.Millisecond  // nobody has come for so long: nobody waits in the listener's queue
-	maxBacklogDrainTime = 500 * time.Millisecond // the longest that is waited for this
+	// backlogIdleTimeout is how long no connection must have been accepted for the
+	// listener's backlog to count as empty.
+	backlogIdleTimeout = 50 * time.Millisecond
+	// maxBacklogDrainTime limits the wait for an empty backlog.
+	maxBacklogDrainTime = 500 * time.Millisecond
 )
 
-// phase is one of the waits of a stop.
+// phase is a phase of the shutdown.
 type phase int
 
-// The phases, in the order of their ends; the first is over once the listener
-// may close.
+// The phases in the order of their ends. All of them begin with the shutdown.
 const (
-	phaseAccept phase = iota
-	phaseRead
-	phaseClose
+	phaseAccept phase = iota // connections are accepted
+	phaseRead                // commands are read
+	phaseClose               // connections wait for their last answers
 )
 
-// phaseDeadline returns when a phase ends at the latest.
+// phaseDeadline returns the latest end of a phase.
 func phaseDeadline(p phase, schedule shutdown.Schedule) time.Time {
 	switch p {
 	case phaseAccept:
@@ -41,12 +43,12 @@
 	return end
 }
 
-// shutDown goes on accepting for the time in which clients still come, answers
-// all that is read, closes each connection between requests, and returns when
-// none is left: at the latest when the schedule says so, for the process may be
-// killed soon after.
+// shutDown drains the ingress. It keeps accepting connections while clients still connect,
+// answers every command that is read, and closes each connection when it has no open
+// request. It returns when no connection is left, and at the latest at the end of
+// phaseClose, because the process may be killed soon after.
 func (s *Server) shutDown(schedule shutdown.Schedule, acceptDone <-chan error) {
-	s.cfg.Log.EnableDetail() // what becomes of each request now is what matters
+	s.cfg.Log.EnableDetail() // records the outcome of every request during the shutdown
 	s.logState("draining")
 	s.loop.post(func(l *loop) { l.gateway.Stop(l.now(), schedule.AnswerBy.Sub(l.clockStart)) })
 	s.drain(false)
@@ -66,8 +68,8 @@
 	s.logState("ended")
 }
 
-// stopAccepting closes the listener once clients no longer come. From then on
-// connections that were used take no further command.
+// stopAccepting closes the listener at the end of phaseAccept, or of phaseRead if that
+// comes first. From then on, connections that have sent a command accept no further one.
 func (s *Server) stopAccepting(schedule shutdown.Schedule, acceptDone <-chan error) {
 	readPhaseEnd := s.phaseEnd(phaseRead, schedule)
 	select {
@@ -84,11 +86,12 @@
 	s.checkAllClientsClosed()
 }
 
-// closeListener closes the listener once nobody waits in its queue: a
-// connection there has been accepted by the machine, and what its client has
-// written counts as taken. It returns when all of them are served, and closes the
-// listener in any case with the last read: a connection that is taken later would
-// have its first command read with no time left for the answer.
+// closeListener closes the listener once its backlog is empty: the operating system has
+// already accepted the connections in the backlog, so their clients assume that the
+// commands they have written will be answered. It returns when all of them are accepted.
+// The listener is closed in any case after maxBacklogDrainTime, and at the end of phaseRead:
+// on a connection accepted later, the first command would be read with no time left for its
+// answer.
 func (s *Server) closeListener(acceptDone <-chan error, readPhaseEnd <-chan struct{}) {
 	s.mu.Lock()
 	s.drainingBacklog = true
@@ -105,8 +108,8 @@
 	<-acceptDone
 }
 
-// drain makes each connection close as soon as it has nothing open. With halt
-// set, those that have sent a command take no further one.
+// drain makes each connection close when it has no open request. With firstCommandOnly
+// set, connections that have sent a command accept no further one.
 func (s *Server) drain(firstCommandOnly bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -116,7 +119,7 @@
 	}
 }
 
-// stopReading makes each connection end that owes nothing for what was read.
+// stopReading makes each connection close once all commands that were read are answered.
 func (s *Server) stopReading() {
 	s.logState("reading no further command")
 	s.mu.Lock()
@@ -127,8 +130,7 @@
 	}
 }
 
-// closeAll closes the connections that are left: their clients do not take what
-// is due to them.
+// closeAll closes the remaining connections, whose clients do not receive their answers.
 func (s *Server) closeAll() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -137,6 +139,8 @@
 	}
 }
 
+// checkAllClientsClosed closes allClientsClosed if accepting has stopped and no connection
+// is left. The caller holds s.mu.
 func (s *Server) checkAllClientsClosed() {
 	if s.acceptingStopped && len(s.clients) == 0 {
 		select {
@@ -147,7 +151,7 @@
 	}
 }
 
-// logState writes a step of the stop, and how many clients there are.
+// logState logs a step of the shutdown and the number of connections.
 func (s *Server) logState(state string) {
 	s.mu.Lock()
 	clients := len(s.clients)
