--- a/internal/ingress/client_test.go
+++ b/internal/ingress/client_test.go
@@ -625,7 +625,7 @@
 	quiet.wantLine("+PONG")
 	busy.send("Q.DO", testCustomer, newRequestID(), paymentOptions, "BODY")
 	got := wait(t, "the request", b.commands)
-	over := r.controlPhaseEnds()
+	phaseEnds := r.controlPhaseEnds()
 	r.stop()
 	quiet.wantClosed()
 	late := r.dial() // the listener stays open for a while
@@ -634,7 +634,7 @@
 	second.replyValue("late")
 	late.wantLine("$4\r\nlate")
 	late.wantClosed()
-	close(over[phaseAccept])
+	close(phaseEnds[phaseAccept])
 	r.waitForListenerClose()
 	got.replyValue("v") // the open request is still awaited
 	busy.wantLine("$1\r\nv")
--- a/internal/ingress/ingress_test.go
+++ b/internal/ingress/ingress_test.go
@@ -138,7 +138,7 @@
 	watchIndexes   chan string   // the index of each watch that was opened
 	listGate       chan struct{} // requests for the list wait until it is closed
 	done           chan struct{} // closed at the end of the test
-	sendKeepAlives atomic.Bool   // each watch begins with an empty line and repeats it
+	sendKeepAlives atomic.Bool   // watches send an empty line at once and periodically
 	mu             sync.Mutex
 	list           membership.List
 }
--- a/internal/ingress/loop.go
+++ b/internal/ingress/loop.go
@@ -133,7 +133,7 @@
 	now := l.now()
 	if !l.recentIDs.add(r.requestID, now) {
 		// Clients choose a new id for every retry, so this request comes from somebody
-		// else, who must not receive the value of the first.
+		// else, who must not receive the value of the earlier one.
 		r.client.invalidCommands.Add(1)
 		l.logFinished(r, "failed", "the id is in use", 0)
 		l.answer(r, redcon.AppendError(nil, "ERR the request id is in use"))
--- a/internal/ingress/shutdown_test.go
+++ b/internal/ingress/shutdown_test.go
@@ -285,9 +285,9 @@
 // answer.
 func TestListenerClosesWithReadPhase(t *testing.T) {
 	r := newRig(t, nil, newFakeBackend(t).member("b"))
-	phases := r.controlPhaseEnds()
+	phaseEnds := r.controlPhaseEnds()
 	r.stop()
-	close(phases[phaseRead])
+	close(phaseEnds[phaseRead])
 	r.waitForListenerClose()
 	if err := wait(t, "Serve to return", r.serveDone); err != nil {
 		t.Error(err)
