--- a/internal/ingress/server.go
+++ b/internal/ingress/server.go
@@ -14,34 +14,43 @@
 )
 
 const (
-	acceptRetry = 5 * time.Millisecond
-	spareShare  = 16                     // of the places for clients, so many are kept free
-	idleLeast   = 2 * time.Second        // a connection that has asked may be closed when idle for so long
-	silentLeast = 250 * time.Millisecond // and one that has not when it is so old
+	// acceptRetryInterval is the pause after a failed accept, or while the limit of
+	// connections is reached.
+	acceptRetryInterval = 5 * time.Millisecond
+	// headroomDivisor sets the headroom: evictions keep 1/headroomDivisor of a connection
+	// limit free.
+	headroomDivisor = 16
+	// minIdleUsed is how long a connection that has sent a valid request must have been
+	// idle before it may be evicted.
+	minIdleUsed = 2 * time.Second
+	// minIdleUnused is the same for a connection that has never sent one.
+	minIdleUnused = 250 * time.Millisecond
 )
 
-// Server is one running ingress.
+// Server is one ingress: it accepts the connections of clients and serves them.
 type Server struct {
 	*core
-	ln    *net.TCPListener
-	plan  func(begun time.Time, longestDeadline time.Duration) shutdown.Schedule
-	endOf func(phase, shutdown.Schedule) <-chan struct{} // closed at the end of a phase of the stop
-
-	moves chan string // addresses of discovery to move to
-
-	lastClient atomic.Uint64 // the number of the newest connection
-
-	mu       sync.Mutex
-	clients  map[*client]struct{}
-	leaving  int           // clients that were closed to make room and are not gone yet
-	draining bool          // connections close between requests
-	ending   bool          // the listener closes as soon as nobody waits in its queue
-	final    bool          // nothing more is read
-	stopping bool          // no further connection is taken
-	empty    chan struct{} // closed when stopping and no client is left
+	ln *net.TCPListener
+	// newSchedule plans a shutdown; a variable for tests, like phaseEnd.
+	newSchedule func(requestedAt time.Time, longestDeadline time.Duration) shutdown.Schedule
+	// phaseEnd returns a channel that is closed at the end of a phase of the shutdown.
+	phaseEnd func(phase, shutdown.Schedule) <-chan struct{}
+
+	discoveryAddrs chan string // new addresses of discovery, from Reload
+
+	lastClientID atomic.Uint64 // id of the newest connection
+
+	mu               sync.Mutex
+	clients          map[*client]struct{}
+	evicting         int           // clients that are being evicted and not yet removed
+	draining         bool          // connections close when they have no open request
+	drainingBacklog  bool          // the listener closes once its backlog is empty
+	readingStopped   bool          // no connection reads any further command
+	acceptingStopped bool          // no further connection is accepted
+	allClientsClosed chan struct{} // closed when accepting has stopped and no client is left
 }
 
-// Listen makes an ingress and opens its address.
+// Listen returns an ingress that listens on its configured address. Serve then runs it.
 func Listen(cfg Config) (*Server, error) {
 	core, err := newCore(cfg)
 	if err != nil {
@@ -49,51 +58,52 @@
 	}
 	ln, err := listen(net.ListenConfig{}, cfg.Listen, listenTimeout)
 	if err != nil {
-		return nil, fmt.Errorf("clients: %w", err)
+		return nil, fmt.Errorf("listen for clients: %w", err)
 	}
-	return &Server{core: core, ln: ln.(*net.TCPListener), clients: map[*client]struct{}{}, empty: make(chan struct{}),
-		plan: shutdown.NewSchedule, endOf: endOf, moves: make(chan string)}, nil
+	return &Server{core: core, ln: ln.(*net.TCPListener), clients: map[*client]struct{}{},
+		allClientsClosed: make(chan struct{}), newSchedule: shutdown.NewSchedule, phaseEnd: phaseEnd,
+		discoveryAddrs: make(chan string)}, nil
 }
 
-// Reload takes what may change while the ingress runs: the address of
-// discovery. All connections and all that is known stay.
+// Reload applies the part of a configuration that may change while the ingress runs: the
+// address of discovery. Connections and the state of the gateway are kept.
 func (s *Server) Reload(cfg Config) {
 	select {
-	case s.moves <- cfg.Discovery:
+	case s.discoveryAddrs <- cfg.Discovery:
 	case <-s.loop.done:
 	}
 }
 
-// Addr is the address on which clients are served.
+// Addr returns the address on which clients are served.
 func (s *Server) Addr() net.Addr { return s.ln.Addr() }
 
-// Serve runs the ingress until ctx ends. It then shuts down and returns, before
-// the process may be killed: see package shutdown. A cause of ctx tells when the
-// end was asked for.
+// Serve runs the ingress until ctx ends, then shuts it down and returns before the
+// process may be killed; see package shutdown. The time at which the shutdown was requested
+// is taken from the cause of ctx, if that is a shutdown.RequestedError.
 func (s *Server) Serve(ctx context.Context) error {
 	defer s.start()()
 	go func() {
 		for {
 			select {
-			case addr := <-s.moves:
+			case addr := <-s.discoveryAddrs:
 				s.sources.switchTo(addr, nil, nil)
 			case <-s.loop.done:
 				return
 			}
 		}
 	}()
-	failed := make(chan error, 1)
-	go func() { failed <- s.accept() }()
+	acceptDone := make(chan error, 1)
+	go func() { acceptDone <- s.accept() }()
 	select {
-	case err := <-failed:
+	case err := <-acceptDone:
 		return err
 	case <-ctx.Done():
 	}
-	s.shutDown(s.plan(shutdown.RequestedAt(ctx), s.longestDeadline()), failed)
+	s.shutDown(s.newSchedule(shutdown.RequestedAt(ctx), s.longestDeadline()), acceptDone)
 	return nil
 }
 
-// longestDeadline is the longest that a request of the settings may take.
+// longestDeadline returns the longest deadline of all request classes.
 func (s *Server) longestDeadline() (longest time.Duration) {
 	for _, c := range s.cfg.Choice.Classes {
 		longest = max(longest, c.Deadline)
@@ -101,81 +111,87 @@
 	return longest
 }
 
+// accept accepts connections until the listener is closed or, during a shutdown, until
+// its backlog is empty.
 func (s *Server) accept() error {
 	for {
 		s.mu.Lock()
-		if s.ending {
-			s.ln.SetDeadline(time.Now().Add(lastCall))
+		if s.drainingBacklog {
+			s.ln.SetDeadline(time.Now().Add(backlogIdleTimeout))
 		}
 		s.mu.Unlock()
 		nc, err := s.ln.Accept()
 		if errors.Is(err, net.ErrClosed) || errors.Is(err, os.ErrDeadlineExceeded) {
 			return nil
 		}
-		if err != nil { // out of descriptors, or a connection that broke at once
-			time.Sleep(acceptRetry)
+		if err != nil { // out of file descriptors, or the connection broke at once
+			time.Sleep(acceptRetryInterval)
 			continue
 		}
-		// With no room even so, the next ones wait in the listener's queue: to
-		// turn them away would hit usual clients as well.
-		for !s.room() {
-			time.Sleep(acceptRetry)
+		// At the limit, further connections wait in the listener's backlog: rejecting
+		// them would also hit well-behaved clients.
+		for !s.makeRoom() {
+			time.Sleep(acceptRetryInterval)
 		}
-		s.add(nc)
+		s.addClient(nc)
 	}
 }
 
-// room makes room for a further connection. Near the limit it closes the one
-// that matters least: first those that have never asked for anything, then the
-// one that has been idle for longest. One with a request open stays.
-func (s *Server) room() bool {
+// makeRoom reports whether there is room for a further connection. Near the limit it
+// evicts one: first those that have never sent a valid request, then the one that has been
+// idle for longest. Connections with an open request are never evicted.
+func (s *Server) makeRoom() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	most := s.cfg.Limits.maxClients()
-	if s.ending || len(s.clients) < most && len(s.clients)-s.leaving < most-most/spareShare {
+	maxClients := s.cfg.Limits.maxClients()
+	if s.drainingBacklog || len(s.clients) < maxClients &&
+		len(s.clients)-s.evicting < maxClients-maxClients/headroomDivisor {
 		return true
 	}
-	var least *client
-	var rank evictionRank
+	var victim *client
+	var victimRank evictionRank
 	now := time.Now()
 	for c := range s.clients {
-		if r, closable := c.evictionRank(now); closable && (least == nil || r.before(rank)) {
-			least, rank = c, r
+		if rank, evictable := c.evictionRank(now); evictable && (victim == nil || rank.before(victimRank)) {
+			victim, victimRank = c, rank
 		}
 	}
-	if least != nil {
-		least.evict()
-		s.leaving++
+	if victim != nil {
+		victim.evict()
+		s.evicting++
 	}
-	return len(s.clients) < most
+	return len(s.clients) < maxClients
 }
 
-// busy is the answer to what is refused before it reaches the gateway.
-func (s *Server) busy() []byte { return busy(s.cfg.Choice.RetryAfterHint()) }
+// busyReply returns the answer to a command that is refused before it reaches the
+// gateway.
+func (s *Server) busyReply() []byte { return busyReply(s.cfg.Choice.RetryAfterHint()) }
 
-// add serves a new connection.
-func (s *Server) add(nc net.Conn) {
+// addClient registers a new connection and starts to serve it.
+func (s *Server) addClient(nc net.Conn) {
 	c := newClient(s, nc)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	c.draining, c.readingStopped = s.draining, s.final // closes after its first answer
+	// During a shutdown, the connection closes after its first answer.
+	c.draining, c.readingStopped = s.draining, s.readingStopped
 	s.clients[c] = struct{}{}
 	go c.serve()
 }
 
-// stays tells that a connection that was to make room is in use after all.
-func (s *Server) stays() {
+// cancelEviction records that a connection that was to be evicted is in use again.
+func (s *Server) cancelEviction() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.leaving--
+	s.evicting--
 }
 
-func (s *Server) remove(c *client) {
+// removeClient removes a connection that has been closed.
+func (s *Server) removeClient(c *client) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.clients, c)
 	if c.evicted {
-		s.leaving--
+		s.evicting--
 	}
-	s.checkEmpty()
+	s.checkAllClientsClosed()
 }
--- a/internal/ingress/shutdown.go
+++ b/internal/ingress/shutdown.go
@@ -8,127 +8,129 @@
 )
 
 const (
-	lastCall     = 50 * time.Millisecond  // nobody has come for so long: nobody waits in the listener's queue
-	lastCallMost = 500 * time.Millisecond // the longest that is waited for this
+	// backlogIdleTimeout is how long no connection must have been accepted for the
+	// listener's backlog to count as empty.
+	backlogIdleTimeout = 50 * time.Millisecond
+	// maxBacklogDrainTime limits the wait for an empty backlog.
+	maxBacklogDrainTime = 500 * time.Millisecond
 )
 
-// phase is one of the waits of a stop.
+// phase is a phase of the shutdown.
 type phase int
 
-// The phases, in the order of their ends; the first is over once the listener
-// may close.
+// The phases in the order of their ends. All of them begin with the shutdown.
 const (
-	accepting phase = iota
-	reading
-	closing
+	phaseAccept phase = iota // connections are accepted
+	phaseRead                // commands are read
+	phaseClose               // connections wait for their last answers
 )
 
-// timeOf returns when a phase ends at the latest.
-func timeOf(p phase, plan shutdown.Schedule) time.Time {
+// phaseDeadline returns the latest end of a phase.
+func phaseDeadline(p phase, schedule shutdown.Schedule) time.Time {
 	switch p {
-	case accepting:
-		return plan.AcceptUntil
-	case reading:
-		return plan.ReadUntil
+	case phaseAccept:
+		return schedule.AcceptUntil
+	case phaseRead:
+		return schedule.ReadUntil
 	}
-	return plan.CloseBy
+	return schedule.CloseBy
 }
 
-// endOf returns a channel that is closed at the end of a phase.
-func endOf(p phase, plan shutdown.Schedule) <-chan struct{} {
+// phaseEnd returns a channel that is closed at the end of a phase.
+func phaseEnd(p phase, schedule shutdown.Schedule) <-chan struct{} {
 	end := make(chan struct{})
-	time.AfterFunc(time.Until(timeOf(p, plan)), func() { close(end) })
+	time.AfterFunc(time.Until(phaseDeadline(p, schedule)), func() { close(end) })
 	return end
 }
 
-// shutDown goes on accepting for the time in which clients still come, answers
-// all that is read, closes each connection between requests, and returns when
-// none is left: at the latest when the schedule says so, for the process may be
-// killed soon after.
-func (s *Server) shutDown(plan shutdown.Schedule, accepted <-chan error) {
-	s.cfg.Log.EnableDetail() // what becomes of each request now is what matters
+// shutDown drains the ingress. It keeps accepting connections while clients still connect,
+// answers every command that is read, and closes each connection when it has no open
+// request. It returns when no connection is left, and at the latest at the end of
+// phaseClose, because the process may be killed soon after.
+func (s *Server) shutDown(schedule shutdown.Schedule, acceptDone <-chan error) {
+	s.cfg.Log.EnableDetail() // records the outcome of every request during the shutdown
 	s.logState("draining")
-	s.loop.post(func(l *loop) { l.gateway.Stop(l.now(), plan.AnswerBy.Sub(l.start)) })
+	s.loop.post(func(l *loop) { l.gateway.Stop(l.now(), schedule.AnswerBy.Sub(l.clockStart)) })
 	s.drain(false)
-	go s.stopAccepting(plan, accepted)
-	last := plan
+	go s.stopAccepting(schedule, acceptDone)
+	finalSchedule := schedule
 	select {
-	case <-s.empty:
-	case <-s.endOf(reading, plan):
+	case <-s.allClientsClosed:
+	case <-s.phaseEnd(phaseRead, schedule):
 		s.stopReading()
-		last = plan.WithReadEnd(time.Now())
+		finalSchedule = schedule.WithReadEnd(time.Now())
 	}
 	select {
-	case <-s.empty:
-	case <-s.endOf(closing, last):
+	case <-s.allClientsClosed:
+	case <-s.phaseEnd(phaseClose, finalSchedule):
 		s.closeAll()
 	}
 	s.logState("ended")
 }
 
-// stopAccepting closes the listener once clients no longer come. From then on
-// connections that were used take no further command.
-func (s *Server) stopAccepting(plan shutdown.Schedule, accepted <-chan error) {
-	lastRead := s.endOf(reading, plan)
+// stopAccepting closes the listener at the end of phaseAccept, or of phaseRead if that
+// comes first. From then on, connections that have sent a command accept no further one.
+func (s *Server) stopAccepting(schedule shutdown.Schedule, acceptDone <-chan error) {
+	readPhaseEnd := s.phaseEnd(phaseRead, schedule)
 	select {
-	case <-s.endOf(accepting, plan):
-	case <-lastRead:
+	case <-s.phaseEnd(phaseAccept, schedule):
+	case <-readPhaseEnd:
 	}
 	s.logState("closing the listener")
-	s.closeListener(accepted, lastRead)
+	s.closeListener(acceptDone, readPhaseEnd)
 	s.logState("taking no further command on used connections")
 	s.drain(true)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.stopping = true
-	s.checkEmpty()
+	s.acceptingStopped = true
+	s.checkAllClientsClosed()
 }
 
-// closeListener closes the listener once nobody waits in its queue: a
-// connection there has been accepted by the machine, and what its client has
-// written counts as taken. It returns when all of them are served, and closes the
-// listener in any case with the last read: a connection that is taken later would
-// have its first command read with no time left for the answer.
-func (s *Server) closeListener(accepted <-chan error, lastRead <-chan struct{}) {
+// closeListener closes the listener once its backlog is empty: the operating system has
+// already accepted the connections in the backlog, so their clients assume that the
+// commands they have written will be answered. It returns when all of them are accepted.
+// The listener is closed in any case after maxBacklogDrainTime, and at the end of phaseRead:
+// on a connection accepted later, the first command would be read with no time left for its
+// answer.
+func (s *Server) closeListener(acceptDone <-chan error, readPhaseEnd <-chan struct{}) {
 	s.mu.Lock()
-	s.ending = true
-	s.ln.SetDeadline(time.Now().Add(lastCall))
+	s.drainingBacklog = true
+	s.ln.SetDeadline(time.Now().Add(backlogIdleTimeout))
 	s.mu.Unlock()
 	select {
-	case <-accepted:
+	case <-acceptDone:
 		s.ln.Close()
 		return
-	case <-lastRead:
-	case <-time.After(lastCallMost):
+	case <-readPhaseEnd:
+	case <-time.After(maxBacklogDrainTime):
 	}
 	s.ln.Close()
-	<-accepted
+	<-acceptDone
 }
 
-// drain makes each connection close as soon as it has nothing open. With halt
-// set, those that have sent a command take no further one.
-func (s *Server) drain(halt bool) {
+// drain makes each connection close when it has no open request. With firstCommandOnly
+// set, connections that have sent a command accept no further one.
+func (s *Server) drain(firstCommandOnly bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.draining = true
 	for c := range s.clients {
-		c.drain(halt)
+		c.drain(firstCommandOnly)
 	}
 }
 
-// stopReading makes each connection end that owes nothing for what was read.
+// stopReading makes each connection close once all commands that were read are answered.
 func (s *Server) stopReading() {
 	s.logState("reading no further command")
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.final = true
+	s.readingStopped = true
 	for c := range s.clients {
 		c.stopReading()
 	}
 }
 
-// closeAll closes the connections that are left: their clients do not take what
-// is due to them.
+// closeAll closes the remaining connections, whose clients do not receive their answers.
 func (s *Server) closeAll() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -137,17 +139,19 @@
 	}
 }
 
-func (s *Server) checkEmpty() {
-	if s.stopping && len(s.clients) == 0 {
+// checkAllClientsClosed closes allClientsClosed if accepting has stopped and no connection
+// is left. The caller holds s.mu.
+func (s *Server) checkAllClientsClosed() {
+	if s.acceptingStopped && len(s.clients) == 0 {
 		select {
-		case <-s.empty:
+		case <-s.allClientsClosed:
 		default:
-			close(s.empty)
+			close(s.allClientsClosed)
 		}
 	}
 }
 
-// logState writes a step of the stop, and how many clients there are.
+// logState logs a step of the shutdown and the number of connections.
 func (s *Server) logState(state string) {
 	s.mu.Lock()
 	clients := len(s.clients)
