--- a/choice/bench_test.go
+++ b/choice/bench_test.go
@@ -12,14 +12,14 @@
 func BenchmarkRequest(b *testing.B) {
 	for _, size := range [...]struct{ gateways, backends int }{{3, 10}, {400, 87}} {
 		b.Run(fmt.Sprintf("%dx%d", size.gateways, size.backends), func(b *testing.B) {
-			cfg := plain()
+			cfg := baseConfig()
 			cfg.Gateways = size.gateways
-			rec := &lastSend{}
+			rec := &lastSendRecorder{}
 			g, err := choice.New(cfg, 7, 0, rec)
 			if err != nil {
 				b.Fatal(err)
 			}
-			g.UpdateBackends(0, choice.Cached, backends(uint32(size.backends)))
+			g.UpdateBackends(0, choice.Cached, newBackends(uint32(size.backends)))
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
 				now := time.Duration(i) * 20 * ms
@@ -33,12 +33,12 @@
 	}
 }
 
-// lastSend remembers the last attempt sent.
-type lastSend struct{ id, backend uint32 }
+// lastSendRecorder remembers the last attempt sent.
+type lastSendRecorder struct{ id, backend uint32 }
 
-func (l *lastSend) Send(id, backend uint32, _ time.Duration)    { l.id, l.backend = id, backend }
-func (l *lastSend) Refuse(uint32, time.Duration, choice.Reason) {}
-func (l *lastSend) Fail(uint32, choice.Reason)                  {}
-func (l *lastSend) Cancel(uint32, int)                          {}
-func (l *lastSend) Probe(uint32)                                {}
-func (l *lastSend) SetTimer(time.Duration, uint64)              {}
+func (l *lastSendRecorder) Send(id, backend uint32, _ time.Duration)    { l.id, l.backend = id, backend }
+func (l *lastSendRecorder) Refuse(uint32, time.Duration, choice.Reason) {}
+func (l *lastSendRecorder) Fail(uint32, choice.Reason)                  {}
+func (l *lastSendRecorder) Cancel(uint32, int)                          {}
+func (l *lastSendRecorder) Probe(uint32)                                {}
+func (l *lastSendRecorder) SetTimer(time.Duration, uint64)              {}
--- a/choice/ceiling_test.go
+++ b/choice/ceiling_test.go
@@ -9,182 +9,182 @@
 	"cedarseam/choice"
 )
 
-// ceilingFleet plays one customer's gateways on a clock of its own: requests by
+// ceilingSimulation plays one customer's gateways on a clock of its own: requests by
 // chance, uneven over the gateways, answers that carry a late meter, and
 // gateways that are killed and start again. It keeps the one true store.
-type ceilingFleet struct {
+type ceilingSimulation struct {
 	cfg   choice.Config
 	rng   *rand.Rand
 	now   time.Duration
-	gates []*ceilingGate
+	gateways []*ceilingGateway
 
-	offered func(now time.Duration) float64       // units a second
-	late    func(now time.Duration) time.Duration // from a period's end to its first showing
-	shift   time.Duration                         // the busiest gateways change so often; 0: never
-	busiest float64                               // share of the busiest gateway; 0: by a power law
+	offeredRate func(now time.Duration) float64       // units a second
+	meterLag    func(now time.Duration) time.Duration // from a period's end to its first showing
+	shuffleInterval   time.Duration                         // the busiest gateways change so often; 0: never
+	busiestShare float64                               // share of the busiest gateway; 0: by a power law
 
-	weights []float64
-	use     []float64 // units first sent, by period
-	due     []ceilingAnswer
+	trafficShares []float64
+	periodUse     []float64 // units first sent, by period
+	answers     []ceilingAnswer
 	nextID  uint32
 
-	level, least  float64 // the true store, and the lowest it stood
-	at            time.Duration
-	asked, passed float64
+	tokens, minTokens  float64 // the true store, and the lowest it stood
+	tokensAt            time.Duration
+	requestedUnits, sentUnits float64
 }
 
-type ceilingGate struct {
-	f    *ceilingFleet
-	g    *choice.Gateway // nil while it is down
-	back time.Duration   // when it starts again
-	life int
-	self int
+type ceilingGateway struct {
+	sim    *ceilingSimulation
+	gateway    *choice.Gateway // nil while it is down
+	restartAt time.Duration   // when it starts again
+	incarnation int
+	index int
 }
 
 type ceilingAnswer struct {
 	at   time.Duration
-	gate *ceilingGate
-	life int
-	out  choice.Outcome
+	gateway *ceilingGateway
+	incarnation int
+	outcome  choice.Outcome
 }
 
-func (g *ceilingGate) Send(id, backend uint32, _ time.Duration) {
-	f := g.f
-	units := float64(id%uint32(f.cfg.MaxUnits)) + 1
-	p := f.cfg.Plans[0]
-	f.level = min(p.CeilingBurst, f.level+(f.now-f.at).Seconds()*p.CeilingRate) - units
-	f.at = f.now
-	f.least = min(f.least, f.level)
-	f.passed += units
-	f.use[f.now/f.cfg.MeterPeriod] += units
-	f.due = append(f.due, ceilingAnswer{f.now + time.Duration(50+f.rng.IntN(200))*ms, g, g.life,
+func (g *ceilingGateway) Send(id, backend uint32, _ time.Duration) {
+	s := g.sim
+	units := float64(id%uint32(s.cfg.MaxUnits)) + 1
+	plan := s.cfg.Plans[0]
+	s.tokens = min(plan.CeilingBurst, s.tokens+(s.now-s.tokensAt).Seconds()*plan.CeilingRate) - units
+	s.tokensAt = s.now
+	s.minTokens = min(s.minTokens, s.tokens)
+	s.sentUnits += units
+	s.periodUse[s.now/s.cfg.MeterPeriod] += units
+	s.answers = append(s.answers, ceilingAnswer{s.now + time.Duration(50+s.rng.IntN(200))*ms, g, g.incarnation,
 		choice.Outcome{ID: id, Backend: backend, Status: choice.OK, Answered: true, Elapsed: 100 * ms}})
 }
-func (g *ceilingGate) Refuse(uint32, time.Duration, choice.Reason) {}
-func (g *ceilingGate) Fail(uint32, choice.Reason)                  {}
-func (g *ceilingGate) Cancel(uint32, int)                          {}
-func (g *ceilingGate) Probe(uint32)                                {}
-func (g *ceilingGate) SetTimer(time.Duration, uint64)              {}
+func (g *ceilingGateway) Refuse(uint32, time.Duration, choice.Reason) {}
+func (g *ceilingGateway) Fail(uint32, choice.Reason)                  {}
+func (g *ceilingGateway) Cancel(uint32, int)                          {}
+func (g *ceilingGateway) Probe(uint32)                                {}
+func (g *ceilingGateway) SetTimer(time.Duration, uint64)              {}
 
-func (g *ceilingGate) start(t *testing.T) {
+func (g *ceilingGateway) start(t *testing.T) {
 	t.Helper()
-	cfg := g.f.cfg
-	cfg.Self = g.self
-	g.life++
+	cfg := g.sim.cfg
+	cfg.Self = g.index
+	g.incarnation++
 	var err error
-	if g.g, err = choice.New(cfg, g.f.rng.Uint64(), g.f.now, g); err != nil {
+	if g.gateway, err = choice.New(cfg, g.sim.rng.Uint64(), g.sim.now, g); err != nil {
 		t.Fatal(err)
 	}
-	g.g.UpdateBackends(g.f.now, choice.Cached, backends(40))
+	g.gateway.UpdateBackends(g.sim.now, choice.Cached, newBackends(40))
 }
 
-// kill ends so many gateways at once, and starts each again within a second.
-func (f *ceilingFleet) kill(n int) {
-	for _, i := range f.rng.Perm(len(f.gates))[:n] {
-		f.gates[i].g = nil
-		f.gates[i].back = f.now + time.Duration(100+f.rng.IntN(100))*ms
+// crash ends so many gateways at once, and starts each again within a second.
+func (s *ceilingSimulation) crash(n int) {
+	for _, i := range s.rng.Perm(len(s.gateways))[:n] {
+		s.gateways[i].gateway = nil
+		s.gateways[i].restartAt = s.now + time.Duration(100+s.rng.IntN(100))*ms
 	}
 }
 
-// deal draws anew how the requests fall on the gateways.
-func (f *ceilingFleet) deal() {
-	f.weights = make([]float64, len(f.gates))
+// shuffleTraffic draws anew how the requests fall on the gateways.
+func (s *ceilingSimulation) shuffleTraffic() {
+	s.trafficShares = make([]float64, len(s.gateways))
 	sum := 0.0
-	for rank, i := range f.rng.Perm(len(f.gates)) {
-		f.weights[i] = math.Pow(float64(rank+1), -0.9)
+	for rank, i := range s.rng.Perm(len(s.gateways)) {
+		s.trafficShares[i] = math.Pow(float64(rank+1), -0.9)
 		switch {
-		case f.busiest > 0 && rank == 0:
-			f.weights[i] = f.busiest * float64(len(f.gates)-1) / (1 - f.busiest)
-		case f.busiest > 0:
-			f.weights[i] = 1
+		case s.busiestShare > 0 && rank == 0:
+			s.trafficShares[i] = s.busiestShare * float64(len(s.gateways)-1) / (1 - s.busiestShare)
+		case s.busiestShare > 0:
+			s.trafficShares[i] = 1
 		}
-		sum += f.weights[i]
+		sum += s.trafficShares[i]
 	}
-	for i := range f.weights {
-		f.weights[i] /= sum
+	for i := range s.trafficShares {
+		s.trafficShares[i] /= sum
 	}
 }
 
-// shown is the meter's reading now, a share of the rate in whole percents.
-func (f *ceilingFleet) shown() float64 {
-	period := f.cfg.MeterPeriod
-	k := int((f.now-f.late(f.now))/period) - 1
-	if k < 0 {
+// meterReading is the meter's reading now, a share of the rate in whole percents.
+func (s *ceilingSimulation) meterReading() float64 {
+	period := s.cfg.MeterPeriod
+	shownPeriod := int((s.now-s.meterLag(s.now))/period) - 1
+	if shownPeriod < 0 {
 		return 0
 	}
-	return math.Round(100*f.use[k]/(f.cfg.Plans[0].Rate*period.Seconds())) / 100
+	return math.Round(100*s.periodUse[shownPeriod]/(s.cfg.Plans[0].Rate*period.Seconds())) / 100
 }
 
-// play runs the fleet, and every gateway's kill at its time.
-func (f *ceilingFleet) play(t *testing.T, length time.Duration, kills map[time.Duration]int) {
+// run runs the fleet, and every gateway's kill at its time.
+func (s *ceilingSimulation) run(t *testing.T, length time.Duration, crashes map[time.Duration]int) {
 	t.Helper()
 	const tick = 10 * ms
-	n := f.cfg.Gateways
-	f.use = make([]float64, length/f.cfg.MeterPeriod+2)
-	f.level = f.cfg.Plans[0].CeilingBurst
-	f.least = f.level
+	n := s.cfg.Gateways
+	s.periodUse = make([]float64, length/s.cfg.MeterPeriod+2)
+	s.tokens = s.cfg.Plans[0].CeilingBurst
+	s.minTokens = s.tokens
 	for i := range n {
-		g := &ceilingGate{f: f, self: i}
-		f.gates = append(f.gates, g)
+		g := &ceilingGateway{sim: s, index: i}
+		s.gateways = append(s.gateways, g)
 		g.start(t)
 	}
-	f.deal()
-	mean := (f.cfg.MaxUnits + 1) / 2
-	owed := 0.0
-	for f.now = 0; f.now < length; f.now += tick {
-		if f.shift > 0 && f.now > 0 && f.now%f.shift == 0 {
-			f.deal()
+	s.shuffleTraffic()
+	meanUnits := (s.cfg.MaxUnits + 1) / 2
+	requestsDue := 0.0
+	for s.now = 0; s.now < length; s.now += tick {
+		if s.shuffleInterval > 0 && s.now > 0 && s.now%s.shuffleInterval == 0 {
+			s.shuffleTraffic()
 		}
-		f.kill(kills[f.now])
-		for _, g := range f.gates {
-			if g.g == nil && f.now >= g.back {
+		s.crash(crashes[s.now])
+		for _, g := range s.gateways {
+			if g.gateway == nil && s.now >= g.restartAt {
 				g.start(t)
 			}
 		}
-		shown, left := f.shown(), f.due[:0]
-		for _, a := range f.due {
+		reading, remaining := s.meterReading(), s.answers[:0]
+		for _, a := range s.answers {
 			switch {
-			case a.at > f.now:
-				left = append(left, a)
-			case a.gate.g != nil && a.life == a.gate.life:
-				a.out.Metered, a.out.Used = true, shown
-				a.gate.g.Outcome(f.now, a.out)
+			case a.at > s.now:
+				remaining = append(remaining, a)
+			case a.gateway.gateway != nil && a.incarnation == a.gateway.incarnation:
+				a.outcome.Metered, a.outcome.Used = true, reading
+				a.gateway.gateway.Outcome(s.now, a.outcome)
 			}
 		}
-		f.due = left
-		for owed += f.offered(f.now) / mean * tick.Seconds(); owed >= 1; owed-- {
-			at := f.rng.Float64()
+		s.answers = remaining
+		for requestsDue += s.offeredRate(s.now) / meanUnits * tick.Seconds(); requestsDue >= 1; requestsDue-- {
+			position := s.rng.Float64()
 			i := 0
-			for ; i < n-1 && at >= f.weights[i]; i++ {
-				at -= f.weights[i]
+			for ; i < n-1 && position >= s.trafficShares[i]; i++ {
+				position -= s.trafficShares[i]
 			}
-			for f.gates[i].g == nil { // the front sends it to another
-				i = f.rng.IntN(n)
+			for s.gateways[i].gateway == nil { // the front sends it to another
+				i = s.rng.IntN(n)
 			}
-			f.nextID++
-			id := f.nextID*uint32(f.cfg.MaxUnits) + uint32(f.rng.IntN(int(f.cfg.MaxUnits)))
-			units := float64(id%uint32(f.cfg.MaxUnits)) + 1
-			f.asked += units
-			f.gates[i].g.Request(f.now, choice.Request{ID: id, Customer: 1, SetSize: n, Units: units, TimeLeft: 2 * time.Second})
+			s.nextID++
+			id := s.nextID*uint32(s.cfg.MaxUnits) + uint32(s.rng.IntN(int(s.cfg.MaxUnits)))
+			units := float64(id%uint32(s.cfg.MaxUnits)) + 1
+			s.requestedUnits += units
+			s.gateways[i].gateway.Request(s.now, choice.Request{ID: id, Customer: 1, SetSize: n, Units: units, TimeLeft: 2 * time.Second})
 		}
 	}
 }
 
-func newCeilingFleet(gateways int, seed uint64, offered func(time.Duration) float64) *ceilingFleet {
-	cfg := plain()
+func newCeilingSimulation(gateways int, seed uint64, offeredRate func(time.Duration) float64) *ceilingSimulation {
+	cfg := baseConfig()
 	cfg.Gateways, cfg.MaxUnits, cfg.MeterPeriod = gateways, 3, time.Second
 	cfg.Classes[0].Deadline = 4 * time.Second
 	// As on the users' days: a set is no larger than the burst over two of the largest requests.
 	cfg.Plans[0] = choice.Plan{Rate: 25, Burst: 1e9, Price: 1, CeilingRate: 55, CeilingBurst: 6.4 * float64(gateways), CeilingTolerance: 8}
-	return &ceilingFleet{cfg: cfg, rng: rand.New(rand.NewPCG(seed, 1)), offered: offered,
-		late: func(time.Duration) time.Duration { return 700 * ms }}
+	return &ceilingSimulation{cfg: cfg, rng: rand.New(rand.NewPCG(seed, 1)), offeredRate: offeredRate,
+		meterLag: func(time.Duration) time.Duration { return 700 * ms }}
 }
 
 // What the gateways of a set first send for one customer stays within the
 // ceiling's rate, burst and tolerance in every order: the meter late or later
 // still, traffic uneven and shifting, gateways killed and started again. The
 // quota lets all pass here, so that the ceiling alone holds.
-func TestCeilingHoldsForTheWholeSet(t *testing.T) {
+func TestCeilingAppliesToWholeGatewaySet(t *testing.T) {
 	steady := func(now time.Duration) float64 { return 200 }
 	spikes := func(now time.Duration) float64 {
 		if now%(12*time.Second) > 8*time.Second {
@@ -192,42 +192,42 @@
 		}
 		return 6
 	}
-	lateSpell := func(now time.Duration) time.Duration {
+	delayedMeter := func(now time.Duration) time.Duration {
 		if now > 15*time.Second && now < 35*time.Second {
 			return 5 * time.Second
 		}
 		return 700 * ms
 	}
-	kills := map[time.Duration]int{20600 * ms: 9, 24 * time.Second: 9, 32500 * ms: 9}
+	crashes := map[time.Duration]int{20600 * ms: 9, 24 * time.Second: 9, 32500 * ms: 9}
 	for _, c := range []struct {
 		name    string
-		offered func(time.Duration) float64
-		late    func(time.Duration) time.Duration
-		shift   time.Duration
+		offeredRate func(time.Duration) float64
+		meterLag    func(time.Duration) time.Duration
+		shuffleInterval   time.Duration
 		kills   map[time.Duration]int
-		busiest float64
+		busiestShare float64
 	}{
-		{name: "always beyond", offered: steady},
-		{name: "always beyond, traffic shifts", offered: steady, shift: 10 * time.Second},
-		{name: "always beyond, killed", offered: steady, kills: kills},
-		{name: "spikes, traffic shifts", offered: spikes, shift: 10 * time.Second},
-		{name: "spikes, the meter later than usual", offered: spikes, late: lateSpell, shift: 10 * time.Second},
-		{name: "spikes, the meter later, killed", offered: spikes, late: lateSpell, shift: 10 * time.Second, kills: kills},
-		{name: "spikes, most at one gateway", offered: spikes, late: lateSpell, shift: 7 * time.Second, kills: kills, busiest: 0.6},
+		{name: "always beyond", offeredRate: steady},
+		{name: "always beyond, traffic shifts", offeredRate: steady, shuffleInterval: 10 * time.Second},
+		{name: "always beyond, killed", offeredRate: steady, kills: crashes},
+		{name: "spikes, traffic shifts", offeredRate: spikes, shuffleInterval: 10 * time.Second},
+		{name: "spikes, the meter later than usual", offeredRate: spikes, meterLag: delayedMeter, shuffleInterval: 10 * time.Second},
+		{name: "spikes, the meter later, killed", offeredRate: spikes, meterLag: delayedMeter, shuffleInterval: 10 * time.Second, kills: crashes},
+		{name: "spikes, most at one gateway", offeredRate: spikes, meterLag: delayedMeter, shuffleInterval: 7 * time.Second, kills: crashes, busiestShare: 0.6},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			for seed := range uint64(12) {
-				f := newCeilingFleet(13, seed, c.offered)
-				if c.late != nil {
-					f.late = c.late
+				s := newCeilingSimulation(13, seed, c.offeredRate)
+				if c.meterLag != nil {
+					s.meterLag = c.meterLag
 				}
-				f.shift, f.busiest = c.shift, c.busiest
-				f.play(t, 50*time.Second, c.kills)
-				if most := -f.cfg.Plans[0].CeilingTolerance; f.least < most {
-					t.Errorf("seed %d: the store stood at %.1f, want %.0f at least", seed, f.least, most)
+				s.shuffleInterval, s.busiestShare = c.shuffleInterval, c.busiestShare
+				s.run(t, 50*time.Second, c.kills)
+				if limit := -s.cfg.Plans[0].CeilingTolerance; s.minTokens < limit {
+					t.Errorf("seed %d: the store stood at %.1f, want %.0f at least", seed, s.minTokens, limit)
 				}
-				if f.asked < 2*f.passed {
-					t.Fatalf("seed %d: %.0f of %.0f units passed: the ceiling was not in the way", seed, f.passed, f.asked)
+				if s.requestedUnits < 2*s.sentUnits {
+					t.Fatalf("seed %d: %.0f of %.0f units passed: the ceiling was not in the way", seed, s.sentUnits, s.requestedUnits)
 				}
 			}
 		})
@@ -236,94 +236,94 @@
 
 // Seven in ten gateways are killed right after a burst has emptied the store,
 // and start again at once. Their part was drawn by the life before.
-func TestRestartedGatewaysBringNoUnitsBack(t *testing.T) {
-	f := newCeilingFleet(13, 1, nil)
-	f.use = make([]float64, 60)
-	p := f.cfg.Plans[0]
-	f.level, f.least = p.CeilingBurst, p.CeilingBurst
-	for i := range f.cfg.Gateways {
-		g := &ceilingGate{f: f, self: i}
-		f.gates = append(f.gates, g)
+func TestRestartDoesNotRefillCeiling(t *testing.T) {
+	s := newCeilingSimulation(13, 1, nil)
+	s.periodUse = make([]float64, 60)
+	plan := s.cfg.Plans[0]
+	s.tokens, s.minTokens = plan.CeilingBurst, plan.CeilingBurst
+	for i := range s.cfg.Gateways {
+		g := &ceilingGateway{sim: s, index: i}
+		s.gateways = append(s.gateways, g)
 		g.start(t)
 	}
 	burst := func() float64 {
-		passed := f.passed
+		before := s.sentUnits
 		for range 20 {
-			for _, g := range f.gates {
-				f.nextID++ // of one unit
-				g.g.Request(f.now, choice.Request{ID: f.nextID * uint32(f.cfg.MaxUnits), Customer: 1,
-					SetSize: len(f.gates), Units: 1, TimeLeft: 2 * time.Second})
+			for _, g := range s.gateways {
+				s.nextID++ // of one unit
+				g.gateway.Request(s.now, choice.Request{ID: s.nextID * uint32(s.cfg.MaxUnits), Customer: 1,
+					SetSize: len(s.gateways), Units: 1, TimeLeft: 2 * time.Second})
 			}
 		}
-		return f.passed - passed
+		return s.sentUnits - before
 	}
-	f.now = 30 * time.Second // all parts are full
-	if first := burst(); first < p.CeilingBurst-float64(len(f.gates)) {
-		t.Fatalf("%.0f units passed of a full store of %.0f", first, p.CeilingBurst)
+	s.now = 30 * time.Second // all parts are full
+	if first := burst(); first < plan.CeilingBurst-float64(len(s.gateways)) {
+		t.Fatalf("%.0f units passed of a full store of %.0f", first, plan.CeilingBurst)
 	}
-	for _, g := range f.gates[:9] {
+	for _, g := range s.gateways[:9] {
 		g.start(t)
 	}
 	if again := burst(); again > 0 {
-		t.Errorf("%.0f units passed of an empty store, which then stood at %.1f", again, f.least)
+		t.Errorf("%.0f units passed of an empty store, which then stood at %.1f", again, s.minTokens)
 	}
 }
 
 // What falls on a gateway inside its even part passes, whatever the others
 // send, also soon after a restart: an empty part fills like the store.
-func TestEvenPartOfTheCeilingPasses(t *testing.T) {
+func TestEvenShareOfCeilingIsAdmitted(t *testing.T) {
 	const gateways = 40
-	cfg := plain()
+	cfg := baseConfig()
 	cfg.Gateways, cfg.MaxUnits, cfg.MeterPeriod = gateways, 2, time.Second
 	cfg.Plans[0] = choice.Plan{Rate: 1000, Burst: 1000, CeilingRate: 60, CeilingBurst: 160, Price: 1}
-	g, rec := open(t, cfg, backends(40))
+	g, rec := newTestGateway(t, cfg, newBackends(40))
 	id := uint32(0)
-	take := func(now time.Duration, units float64) bool {
+	admit := func(now time.Duration, units float64) bool {
 		id++
-		return ask(g, rec, now, choice.Request{ID: id, Customer: 1, SetSize: gateways, Units: units}, 0)
+		return submitRequest(g, rec, now, choice.Request{ID: id, Customer: 1, SetSize: gateways, Units: units}, 0)
 	}
-	if take(0, 1) {
+	if admit(0, 1) {
 		t.Error("passed of a part that is empty")
 	}
-	if !take(700*ms, 1) {
+	if !admit(700*ms, 1) {
 		t.Error("refused with 1.05 units filled")
 	}
-	passed, asked := 0.0, 0.0
+	admitted, requested := 0.0, 0.0
 	for now := 2 * time.Second; now < 30*time.Second; now += 720 * ms { // nine tenths of 1.5 units a second, and some chance
-		asked++
-		if take(now, 1) {
-			passed++
+		requested++
+		if admit(now, 1) {
+			admitted++
 		}
 	}
-	if passed < asked {
-		t.Errorf("%.0f of %.0f pass inside the even part, want all", passed, asked)
+	if admitted < requested {
+		t.Errorf("%.0f of %.0f pass inside the even part, want all", admitted, requested)
 	}
 	now := 60 * time.Second // full again
 	for n := range 4 {
-		if !take(now, 1) {
+		if !admit(now, 1) {
 			t.Errorf("refused with %d of 4 units drawn", n)
 		}
 	}
-	if take(now, 1) {
+	if admit(now, 1) {
 		t.Error("a fifth unit passed of a part of 4")
 	}
 }
 
 // The ceiling counts what comes to a backend, and when. Connections that fail
 // late must not add what they held up to what has filled meanwhile.
-func TestRepeatOfWhatNeverCameDrawsAnew(t *testing.T) {
-	cfg := plain()
+func TestRetryAfterConnectFailureDrawsCeilingAgain(t *testing.T) {
+	cfg := baseConfig()
 	cfg.Plans[0] = choice.Plan{Rate: 1000, Burst: 1000, CeilingRate: 4, CeilingBurst: 8, Price: 1}
-	g, rec := open(t, cfg, backends(8))
+	g, rec := newTestGateway(t, cfg, newBackends(8))
 	id := uint32(0)
-	ask := func(now time.Duration) bool {
+	submit := func(now time.Duration) bool {
 		id++
 		g.Request(now, choice.Request{ID: id, Customer: 1, SetSize: 2, Units: 1, TimeLeft: 9 * time.Second})
 		return len(rec.sent[id]) > 0
 	}
 	now := 20 * time.Second // the part of 4 is full
 	for n := range 4 {
-		if !ask(now) {
+		if !submit(now) {
 			t.Fatalf("refused with %d of 4 units drawn", n)
 		}
 	}
@@ -334,7 +334,7 @@
 			t.Fatalf("request %d was not tried again: %v", id+1, rec.log)
 		}
 	}
-	if ask(now) {
+	if submit(now) {
 		t.Error("a fifth unit comes to a backend at once, of a part of 4")
 	}
 	// One that was turned away has come to a backend: its repeat draws nothing more.
--- a/choice/choice_test.go
+++ b/choice/choice_test.go
@@ -24,30 +24,30 @@
 	probed  []uint32
 }
 
-func record() *recorder {
+func newRecorder() *recorder {
 	return &recorder{sent: map[uint32][]uint32{}, refused: map[uint32]bool{}, failed: map[uint32]bool{}}
 }
 
-func (r *recorder) note(format string, args ...any) {
+func (r *recorder) logf(format string, args ...any) {
 	r.log = append(r.log, fmt.Sprintf(format, args...))
 }
 func (r *recorder) Send(id, backend uint32, timeout time.Duration) {
-	r.note("send %d to %d within %v", id, backend, timeout)
+	r.logf("send %d to %d within %v", id, backend, timeout)
 	r.sent[id] = append(r.sent[id], backend)
 }
 func (r *recorder) Refuse(id uint32, after time.Duration, _ choice.Reason) {
-	r.note("refuse %d for %v", id, after)
+	r.logf("refuse %d for %v", id, after)
 	r.refused[id] = true
 }
-func (r *recorder) Fail(id uint32, _ choice.Reason) { r.note("fail %d", id); r.failed[id] = true }
-func (r *recorder) Cancel(id uint32, attempt int)   { r.note("cancel %d/%d", id, attempt) }
-func (r *recorder) Probe(b uint32)                  { r.note("probe %d", b); r.probed = append(r.probed, b) }
+func (r *recorder) Fail(id uint32, _ choice.Reason) { r.logf("fail %d", id); r.failed[id] = true }
+func (r *recorder) Cancel(id uint32, attempt int)   { r.logf("cancel %d/%d", id, attempt) }
+func (r *recorder) Probe(b uint32)                  { r.logf("probe %d", b); r.probed = append(r.probed, b) }
 func (r *recorder) SetTimer(wait time.Duration, token uint64) {
-	r.note("after %v token %d", wait, token)
+	r.logf("after %v token %d", wait, token)
 }
 
-// plain is a deployment of four gateways with one free class and one rate plan.
-func plain() choice.Config {
+// baseConfig is a deployment of four gateways with one free class and one rate plan.
+func baseConfig() choice.Config {
 	return choice.Config{
 		Gateways: 4, MeterPeriod: 500 * ms, MaxUnits: 1, MaxAttempts: 3,
 		Classes:         []choice.Class{{Aim: 400 * ms, Deadline: 2 * time.Second, Worth: 1}},
@@ -56,16 +56,16 @@
 	}
 }
 
-func backends(n uint32) (list []choice.Backend) {
+func newBackends(n uint32) (list []choice.Backend) {
 	for i := range n {
 		list = append(list, choice.Backend{ID: i + 1, Weight: 1})
 	}
 	return
 }
 
-func open(t *testing.T, cfg choice.Config, list []choice.Backend) (*choice.Gateway, *recorder) {
+func newTestGateway(t *testing.T, cfg choice.Config, list []choice.Backend) (*choice.Gateway, *recorder) {
 	t.Helper()
-	rec := record()
+	rec := newRecorder()
 	g, err := choice.New(cfg, 7, 0, rec)
 	if err != nil {
 		t.Fatal(err)
@@ -74,8 +74,8 @@
 	return g, rec
 }
 
-// ask sends one request and, when it was passed, answers it well at once.
-func ask(g *choice.Gateway, rec *recorder, now time.Duration, r choice.Request, used float64) (passed bool) {
+// submitRequest sends one request and, when it was passed, answers it well at once.
+func submitRequest(g *choice.Gateway, rec *recorder, now time.Duration, r choice.Request, reading float64) (admitted bool) {
 	if r.TimeLeft == 0 {
 		r.TimeLeft = time.Second
 	}
@@ -83,17 +83,17 @@
 		r.Units = 1
 	}
 	g.Request(now, r)
-	to := rec.sent[r.ID]
-	if len(to) == 0 {
+	sentTo := rec.sent[r.ID]
+	if len(sentTo) == 0 {
 		return false
 	}
-	g.Outcome(now, choice.Outcome{ID: r.ID, Backend: to[0], Status: choice.OK, Elapsed: 10 * ms, Answered: true,
-		Metered: used >= 0, Used: max(used, 0)})
+	g.Outcome(now, choice.Outcome{ID: r.ID, Backend: sentTo[0], Status: choice.OK, Elapsed: 10 * ms, Answered: true,
+		Metered: reading >= 0, Used: max(reading, 0)})
 	return true
 }
 
-func TestNewNamesTheFieldItCannotServe(t *testing.T) {
-	for field, spoil := range map[string]func(*choice.Config){
+func TestNewNamesInvalidField(t *testing.T) {
+	for field, invalidate := range map[string]func(*choice.Config){
 		"Gateways":     func(c *choice.Config) { c.Gateways = 0 },
 		"Self":         func(c *choice.Config) { c.Self = 4 },
 		"MaxAttempts":  func(c *choice.Config) { c.MaxAttempts = 0 },
@@ -104,85 +104,85 @@
 		"CeilingBurst": func(c *choice.Config) { c.Plans[0].CeilingBurst = math.Inf(1) },
 		"MeterPeriod":  func(c *choice.Config) { c.MeterPeriod = -1 },
 	} {
-		cfg := plain()
-		spoil(&cfg)
-		if _, err := choice.New(cfg, 1, 0, record()); err == nil || !strings.Contains(err.Error(), field) {
+		cfg := baseConfig()
+		invalidate(&cfg)
+		if _, err := choice.New(cfg, 1, 0, newRecorder()); err == nil || !strings.Contains(err.Error(), field) {
 			t.Errorf("spoilt %s: error %v does not name it", field, err)
 		}
 	}
-	if _, err := choice.New(plain(), 1, 0, nil); err == nil {
+	if _, err := choice.New(baseConfig(), 1, 0, nil); err == nil {
 		t.Error("nil Actions were taken")
 	}
 }
 
 // A full store of 24 units passes an even part at each of 1 to 4 gateways, and
 // more only where nothing tells of others.
-func TestUnmeasuredCustomerPassesItsEvenShareAtLeast(t *testing.T) {
-	for spread := 1; spread <= 4; spread++ {
-		g, rec := open(t, plain(), backends(4))
-		passed := 0
+func TestUnmeasuredCustomerGetsEvenShare(t *testing.T) {
+	for setSize := 1; setSize <= 4; setSize++ {
+		g, rec := newTestGateway(t, baseConfig(), newBackends(4))
+		admitted := 0
 		for i := range uint32(200) {
-			if ask(g, rec, 0, choice.Request{ID: i + 1, Customer: 1, SetSize: spread}, -1) {
-				passed++
+			if submitRequest(g, rec, 0, choice.Request{ID: i + 1, Customer: 1, SetSize: setSize}, -1) {
+				admitted++
 			}
 		}
-		if even := 24 / spread; passed < even || passed > 24 {
-			t.Errorf("spread %d: %d passed at once, want between the even share %d and the store 24", spread, passed, even)
+		if evenShare := 24 / setSize; admitted < evenShare || admitted > 24 {
+			t.Errorf("spread %d: %d passed at once, want between the even share %d and the store 24", setSize, admitted, evenShare)
 		}
 	}
 }
 
-// loop plays one customer through some gateways and a late meter by plain
+// simulateCustomer plays one customer through some gateways and a late meter by plain
 // arithmetic: no fleet, each passed request is answered at once.
-func loop(t *testing.T, gates int, weights []float64, offered float64, lag int, length time.Duration) (rate, refused float64) {
-	cfg := plain()
-	cfg.Gateways = gates
-	var gs []*choice.Gateway
-	var recs []*recorder
-	for range gates {
-		g, rec := open(t, cfg, backends(4))
-		gs, recs = append(gs, g), append(recs, rec)
-	}
-	p := cfg.Plans[0]
-	used := make([]float64, 1+length/cfg.MeterPeriod)
-	asked, passed, id, due, turn := 0.0, 0.0, uint32(0), 0.0, 0.0
+func simulateCustomer(t *testing.T, gatewayCount int, trafficShares []float64, offeredRate float64, lagPeriods int, length time.Duration) (rate, refusedShare float64) {
+	cfg := baseConfig()
+	cfg.Gateways = gatewayCount
+	var gateways []*choice.Gateway
+	var recorders []*recorder
+	for range gatewayCount {
+		g, rec := newTestGateway(t, cfg, newBackends(4))
+		gateways, recorders = append(gateways, g), append(recorders, rec)
+	}
+	plan := cfg.Plans[0]
+	usedByPeriod := make([]float64, 1+length/cfg.MeterPeriod)
+	requested, admitted, id, requestsDue, position := 0.0, 0.0, uint32(0), 0.0, 0.0
 	for now := 2 * ms; now < length; now += 2 * ms {
-		due += offered * 0.002
-		for ; due >= 1; due-- {
-			turn = math.Mod(turn+0.618034, 1) // an even sequence, spread by the weights
-			gate, sum := 0, weights[0]
-			for turn > sum && gate < gates-1 {
-				gate++
-				sum += weights[gate]
+		requestsDue += offeredRate * 0.002
+		for ; requestsDue >= 1; requestsDue-- {
+			position = math.Mod(position+0.618034, 1) // an even sequence, spread by the weights
+			index, sum := 0, trafficShares[0]
+			for position > sum && index < gatewayCount-1 {
+				index++
+				sum += trafficShares[index]
 			}
 			reading := -1.0
-			if shown := int(now/cfg.MeterPeriod) - 1 - lag; shown >= 0 {
-				reading = used[shown] / (p.Rate * cfg.MeterPeriod.Seconds())
+			if period := int(now/cfg.MeterPeriod) - 1 - lagPeriods; period >= 0 {
+				reading = usedByPeriod[period] / (plan.Rate * cfg.MeterPeriod.Seconds())
 			}
 			id++
-			late := now > length/2
-			if late {
-				asked++
+			measured := now > length/2
+			if measured {
+				requested++
 			}
-			if ask(gs[gate], recs[gate], now, choice.Request{ID: id, Customer: 1, SetSize: gates}, reading) {
-				used[now/cfg.MeterPeriod]++
-				if late {
-					passed++
+			if submitRequest(gateways[index], recorders[index], now, choice.Request{ID: id, Customer: 1, SetSize: gatewayCount}, reading) {
+				usedByPeriod[now/cfg.MeterPeriod]++
+				if measured {
+					admitted++
 				}
 			}
 		}
 	}
-	return passed / (length / 2).Seconds(), 1 - passed/asked
+	return admitted / (length / 2).Seconds(), 1 - admitted/requested
 }
 
 // In the long run what all gateways pass stays near the quota, and what is
 // refused near b = 1 - quota / offered, however the traffic is split.
-func TestAdmittedRateHoldsTheQuota(t *testing.T) {
+func TestAdmittedRateStaysNearQuota(t *testing.T) {
 	for _, c := range []struct {
-		gates   int
-		weights []float64
-		offered float64
-		lag     int
+		gateways   int
+		trafficShares []float64
+		offeredRate float64
+		lagPeriods     int
 	}{
 		{1, []float64{1}, 30, 1},
 		{3, []float64{0.34, 0.33, 0.33}, 30, 1},
@@ -190,47 +190,47 @@
 		{3, []float64{0.8, 0.1, 0.1}, 30, 1},
 		{4, []float64{0.4, 0.3, 0.2, 0.1}, 45, 2},
 	} {
-		rate, refused := loop(t, c.gates, c.weights, c.offered, c.lag, 60*time.Second)
+		rate, refusedShare := simulateCustomer(t, c.gateways, c.trafficShares, c.offeredRate, c.lagPeriods, 60*time.Second)
 		if rate < 8 || rate > 12 {
-			t.Errorf("%d gateways %v offered %.0f: %.1f units a second passed, want about 10", c.gates, c.weights, c.offered, rate)
+			t.Errorf("%d gateways %v offered %.0f: %.1f units a second passed, want about 10", c.gateways, c.trafficShares, c.offeredRate, rate)
 		}
-		if b := 1 - 10/c.offered; math.Abs(refused-b) > 0.07 {
-			t.Errorf("%d gateways %v offered %.0f: %.2f refused, want about b = %.2f", c.gates, c.weights, c.offered, refused, b)
+		if wantShare := 1 - 10/c.offeredRate; math.Abs(refusedShare-wantShare) > 0.07 {
+			t.Errorf("%d gateways %v offered %.0f: %.2f refused, want about b = %.2f", c.gateways, c.trafficShares, c.offeredRate, refusedShare, wantShare)
 		}
 	}
-	if rate, refused := loop(t, 3, []float64{0.5, 0.3, 0.2}, 5, 1, 60*time.Second); refused > 0.02 {
+	if rate, refused := simulateCustomer(t, 3, []float64{0.5, 0.3, 0.2}, 5, 1, 60*time.Second); refused > 0.02 {
 		t.Errorf("half the quota asked: %.2f refused (%.1f passed), want none", refused, rate)
 	}
 }
 
 // A reading of several hundred per cent must not lock a customer out.
-func TestWayBackAfterAHighReading(t *testing.T) {
-	g, rec := open(t, plain(), backends(4))
+func TestCustomerRecoversFromHighReading(t *testing.T) {
+	g, rec := newTestGateway(t, baseConfig(), newBackends(4))
 	id := uint32(0)
 	for now := time.Duration(0); now < 3*time.Second; now += 20 * ms {
 		id++
-		ask(g, rec, now, choice.Request{ID: id, Customer: 1, SetSize: 2}, 9)
+		submitRequest(g, rec, now, choice.Request{ID: id, Customer: 1, SetSize: 2}, 9)
 	}
-	passed := 0
+	admitted := 0
 	for now := 3 * time.Second; now < 9*time.Second; now += 250 * ms {
 		id++
-		if ask(g, rec, now, choice.Request{ID: id, Customer: 1, SetSize: 2}, 0.2) {
-			passed++
+		if submitRequest(g, rec, now, choice.Request{ID: id, Customer: 1, SetSize: 2}, 0.2) {
+			admitted++
 		}
 	}
-	if passed < 20 {
-		t.Errorf("%d of 24 passed once the customer asked little, want 20 at least", passed)
+	if admitted < 20 {
+		t.Errorf("%d of 24 passed once the customer asked little, want 20 at least", admitted)
 	}
 }
 
 // The same reading comes with many answers of one period; each period counts
 // once, or the store would run down with every answer.
 func TestRepeatedReadingCountsOnce(t *testing.T) {
-	g, rec := open(t, plain(), backends(4))
+	g, rec := newTestGateway(t, baseConfig(), newBackends(4))
 	id, refused := uint32(0), 0
 	for now := time.Duration(0); now < 20*time.Second; now += 125 * ms { // 8 a second, under the quota of 10
 		id++
-		if !ask(g, rec, now, choice.Request{ID: id, Customer: 1, SetSize: 1}, 0.8) {
+		if !submitRequest(g, rec, now, choice.Request{ID: id, Customer: 1, SetSize: 1}, 0.8) {
 			refused++
 		}
 	}
@@ -241,12 +241,12 @@
 
 // A long wait for a reading must not run the share down for good: what was
 // passed long ago has been filled again.
-func TestShareFillsWithoutReadings(t *testing.T) {
-	g, rec := open(t, plain(), backends(4))
+func TestTokenShareRefillsWithoutReadings(t *testing.T) {
+	g, rec := newTestGateway(t, baseConfig(), newBackends(4))
 	id, refused := uint32(0), 0
 	for now := time.Duration(0); now < 40*time.Second; now += 500 * ms { // 2 a second, of an even part of 2.5
 		id++
-		if !ask(g, rec, now, choice.Request{ID: id, Customer: 1, SetSize: 4}, -1) {
+		if !submitRequest(g, rec, now, choice.Request{ID: id, Customer: 1, SetSize: 4}, -1) {
 			refused++
 		}
 	}
@@ -257,29 +257,29 @@
 
 // A customer that the meter shows calm does not pass a spike at the chance 1
 // until the late meter shows it.
-func TestSpikeIsHeldBeforeTheMeterShowsIt(t *testing.T) {
-	g, rec := open(t, plain(), backends(4))
+func TestSpikeIsLimitedBeforeMeterShowsIt(t *testing.T) {
+	g, rec := newTestGateway(t, baseConfig(), newBackends(4))
 	id := uint32(0)
 	for now := time.Duration(0); now < 10*time.Second; now += 400 * ms {
 		id++
-		ask(g, rec, now, choice.Request{ID: id, Customer: 1, SetSize: 3}, 0.75)
+		submitRequest(g, rec, now, choice.Request{ID: id, Customer: 1, SetSize: 3}, 0.75)
 	}
-	passed := 0
+	admitted := 0
 	for now := 10 * time.Second; now < 11*time.Second; now += 5 * ms { // 200 a second
 		id++
-		if ask(g, rec, now, choice.Request{ID: id, Customer: 1, SetSize: 3}, 0.75) {
-			passed++
+		if submitRequest(g, rec, now, choice.Request{ID: id, Customer: 1, SetSize: 3}, 0.75) {
+			admitted++
 		}
 	}
-	if passed > 34 {
-		t.Errorf("%d of 200 passed, more than the whole store and its refill", passed)
+	if admitted > 34 {
+		t.Errorf("%d of 200 passed, more than the whole store and its refill", admitted)
 	}
 }
 
-func TestOpenCapIsHeldLocally(t *testing.T) {
-	cfg := plain()
+func TestInFlightCapIsEnforcedLocally(t *testing.T) {
+	cfg := baseConfig()
 	cfg.Plans = []choice.Plan{{MaxInFlight: 4, Price: 1}}
-	g, rec := open(t, cfg, backends(4))
+	g, rec := newTestGateway(t, cfg, newBackends(4))
 	for i := range uint32(6) {
 		g.Request(0, choice.Request{ID: i + 1, Customer: 1, SetSize: 2, Units: 1, TimeLeft: time.Second})
 	}
@@ -290,20 +290,20 @@
 
 // A restarted gateway cannot know what it drew before, so its part of a
 // ceiling starts empty and fills.
-func TestCeilingPartStartsEmpty(t *testing.T) {
-	cfg := plain()
+func TestCeilingShareStartsEmpty(t *testing.T) {
+	cfg := baseConfig()
 	cfg.Plans[0].CeilingRate, cfg.Plans[0].CeilingBurst = 20, 48
-	g, rec := open(t, cfg, backends(4))
-	if ask(g, rec, 0, choice.Request{ID: 1, Customer: 1, SetSize: 2}, -1) {
+	g, rec := newTestGateway(t, cfg, newBackends(4))
+	if submitRequest(g, rec, 0, choice.Request{ID: 1, Customer: 1, SetSize: 2}, -1) {
 		t.Error("passed from a part that is empty")
 	}
-	if !ask(g, rec, 200*ms, choice.Request{ID: 2, Customer: 1, SetSize: 2}, -1) {
+	if !submitRequest(g, rec, 200*ms, choice.Request{ID: 2, Customer: 1, SetSize: 2}, -1) {
 		t.Error("refused with two units filled")
 	}
 }
 
-func TestBadRequestsAreAnswered(t *testing.T) {
-	g, rec := open(t, plain(), backends(2))
+func TestInvalidRequestsAreRefused(t *testing.T) {
+	g, rec := newTestGateway(t, baseConfig(), newBackends(2))
 	for i, r := range []choice.Request{
 		{Class: 5, Units: 1, TimeLeft: time.Second}, {Class: -1, Units: 1, TimeLeft: time.Second},
 		{Plan: 3, Units: 1, TimeLeft: time.Second}, {Units: math.NaN(), TimeLeft: time.Second}, {Units: 1},
@@ -324,9 +324,9 @@
 	}
 }
 
-func TestNoBackendMeansARefusal(t *testing.T) {
-	g, rec := open(t, plain(), nil)
-	ask(g, rec, 0, choice.Request{ID: 1, Customer: 1, SetSize: 1}, -1)
+func TestRequestWithoutBackendIsRefused(t *testing.T) {
+	g, rec := newTestGateway(t, baseConfig(), nil)
+	submitRequest(g, rec, 0, choice.Request{ID: 1, Customer: 1, SetSize: 1}, -1)
 	if !rec.refused[1] {
 		t.Error("held with no backend to send to")
 	}
@@ -335,146 +335,146 @@
 // A backend that fails fast holds little work; its short queue must not draw
 // traffic to it.
 func TestFastFailingBackendIsEjected(t *testing.T) {
-	g, rec := open(t, plain(), backends(6))
-	toBad := 0
+	g, rec := newTestGateway(t, baseConfig(), newBackends(6))
+	sentToFailing := 0
 	for i := range uint32(600) {
 		now, id := time.Duration(i)*10*ms, i+1
 		g.Request(now, choice.Request{ID: id, Customer: uint64(i % 300), SetSize: 1, Units: 1, TimeLeft: time.Second})
-		st := choice.OK
+		status := choice.OK
 		if b := rec.sent[id][0]; b == 3 {
-			st = choice.Error
-			toBad++
+			status = choice.Error
+			sentToFailing++
 		}
-		g.Outcome(now, choice.Outcome{ID: id, Backend: rec.sent[id][0], Status: st, Elapsed: 5 * ms, Answered: true})
+		g.Outcome(now, choice.Outcome{ID: id, Backend: rec.sent[id][0], Status: status, Elapsed: 5 * ms, Answered: true})
 	}
-	if toBad > 30 {
-		t.Errorf("%d of 600 went to the backend that fails all, want 30 at most", toBad)
+	if sentToFailing > 30 {
+		t.Errorf("%d of 600 went to the backend that fails all, want 30 at most", sentToFailing)
 	}
 }
 
 // A backend that takes attempts and answers none is passed over before any of
 // them has timed out.
-func TestSilentBackendIsPassedOver(t *testing.T) {
-	g, rec := open(t, plain(), backends(4))
-	late := 0
+func TestUnresponsiveBackendIsAvoided(t *testing.T) {
+	g, rec := newTestGateway(t, baseConfig(), newBackends(4))
+	lateSends := 0
 	for i := range uint32(300) {
 		now, id := time.Duration(i)*10*ms, i+1
 		g.Request(now, choice.Request{ID: id, Customer: uint64(i), SetSize: 1, Units: 1, TimeLeft: 20 * time.Second})
 		if b := rec.sent[id][0]; b != 2 {
 			g.Outcome(now, choice.Outcome{ID: id, Backend: b, Status: choice.OK, Elapsed: 5 * ms, Answered: true})
 		} else if now > time.Second {
-			late++
+			lateSends++
 		}
 	}
-	if late > 2 {
-		t.Errorf("%d sent to a backend silent for a second, want 2 at most", late)
+	if lateSends > 2 {
+		t.Errorf("%d sent to a backend silent for a second, want 2 at most", lateSends)
 	}
 }
 
-func TestColdBackendGetsALittleAtATime(t *testing.T) {
-	g, rec := open(t, plain(), backends(3))
+func TestColdBackendInFlightIsLimited(t *testing.T) {
+	g, rec := newTestGateway(t, baseConfig(), newBackends(3))
 	g.UpdateBackends(0, choice.Delta, []choice.Backend{{ID: 9, Weight: 1, StartKnown: true, Started: 1}})
-	out := 0
+	coldAttempts := 0
 	for i := range uint32(20) {
 		g.Request(2, choice.Request{ID: i + 1, Customer: uint64(i), SetSize: 1, Units: 1, TimeLeft: time.Second})
 		if slices.Contains(rec.sent[i+1], 9) {
-			out++
+			coldAttempts++
 		}
 	}
-	if out > 1 {
-		t.Errorf("%d attempts out at a backend at a fifth of its capacity, want 1 at most", out)
+	if coldAttempts > 1 {
+		t.Errorf("%d attempts out at a backend at a fifth of its capacity, want 1 at most", coldAttempts)
 	}
 }
 
 // In a jam every answer misses its aim; fewer attempts out bring them back.
-func TestJamNarrowsTheWindow(t *testing.T) {
-	g, rec := open(t, plain(), backends(4))
-	id, most := uint32(0), 0
-	held := []uint32{}
+func TestLateAnswersShrinkConcurrencyLimit(t *testing.T) {
+	g, rec := newTestGateway(t, baseConfig(), newBackends(4))
+	id, maxInFlight := uint32(0), 0
+	inFlight := []uint32{}
 	for now := time.Duration(0); now < 8*time.Second; now += 10 * ms {
 		id++
 		g.Request(now, choice.Request{ID: id, Customer: uint64(id), SetSize: 1, Units: 1, TimeLeft: 9 * time.Second})
 		if len(rec.sent[id]) > 0 {
-			held = append(held, id)
+			inFlight = append(inFlight, id)
 		}
 		if now > 6*time.Second {
-			most = max(most, len(held))
+			maxInFlight = max(maxInFlight, len(inFlight))
 		}
-		if len(held) > 0 && now%(50*ms) == 0 {
-			g.Outcome(now, choice.Outcome{ID: held[0], Backend: rec.sent[held[0]][0], Status: choice.OK,
+		if len(inFlight) > 0 && now%(50*ms) == 0 {
+			g.Outcome(now, choice.Outcome{ID: inFlight[0], Backend: rec.sent[inFlight[0]][0], Status: choice.OK,
 				Elapsed: 800 * ms, Answered: true})
-			held = held[1:]
+			inFlight = inFlight[1:]
 		}
 	}
-	if most > 3 {
-		t.Errorf("%d attempts out after seconds of answers at twice the aim, want 3 at most", most)
+	if maxInFlight > 3 {
+		t.Errorf("%d attempts out after seconds of answers at twice the aim, want 3 at most", maxInFlight)
 	}
 }
 
-func TestFurtherAttemptsHoldTheRules(t *testing.T) {
-	cfg := plain()
+func TestRetryDependsOnEffectAndStatus(t *testing.T) {
+	cfg := baseConfig()
 	cfg.Classes = append(cfg.Classes, choice.Class{Aim: 400 * ms, Deadline: time.Second, Worth: 1, Effect: choice.SingleShot})
 	for _, c := range []struct {
 		class         int
 		status        choice.Status
-		again, failed bool
+		retried, failed bool
 	}{
 		{0, choice.Error, true, false}, {0, choice.Refused, true, false},
 		{1, choice.Refused, true, false}, {1, choice.ConnectFailed, true, false},
 		{1, choice.Error, false, true}, {1, choice.Timeout, false, true}, {1, choice.Reset, false, true},
 	} {
-		g, rec := open(t, cfg, backends(4))
+		g, rec := newTestGateway(t, cfg, newBackends(4))
 		g.Request(0, choice.Request{ID: 1, Class: c.class, Customer: 1, SetSize: 1, Units: 1, TimeLeft: time.Second})
 		g.Outcome(10*ms, choice.Outcome{ID: 1, Backend: rec.sent[1][0], Status: c.status, Elapsed: 10 * ms})
-		if again := len(rec.sent[1]) == 2; again != c.again || rec.failed[1] != c.failed {
+		if again := len(rec.sent[1]) == 2; again != c.retried || rec.failed[1] != c.failed {
 			t.Errorf("class %d after %d: sent again %v, failed %v", c.class, c.status, again, rec.failed[1])
 		}
-		if c.again && rec.sent[1][0] == rec.sent[1][1] {
+		if c.retried && rec.sent[1][0] == rec.sent[1][1] {
 			t.Errorf("class %d after %d: sent again to the same backend", c.class, c.status)
 		}
 	}
 }
 
-func TestSameEventsGiveTheSameActions(t *testing.T) {
-	play := func() []string {
-		cfg := plain()
+func TestSameEventsGiveSameActions(t *testing.T) {
+	run := func() []string {
+		cfg := baseConfig()
 		cfg.Probing, cfg.ReportFields, cfg.Hedging = true, []string{"inflight"}, true
-		g, rec := open(t, cfg, backends(5))
+		g, rec := newTestGateway(t, cfg, newBackends(5))
 		for i := range uint32(800) {
 			now := time.Duration(i) * 4 * ms
-			ask(g, rec, now, choice.Request{ID: i + 1, Customer: uint64(i % 7), SetSize: 3}, float64(i%5)/2)
+			submitRequest(g, rec, now, choice.Request{ID: i + 1, Customer: uint64(i % 7), SetSize: 3}, float64(i%5)/2)
 			if i%50 == 0 {
 				g.TimerExpired(now, 0)
 			}
 		}
 		return rec.log
 	}
-	if a, b := play(), play(); !reflect.DeepEqual(a, b) {
+	if a, b := run(), run(); !reflect.DeepEqual(a, b) {
 		t.Error("two runs of the same events differ")
 	}
 }
 
 // Before a customer was known nothing of it was refused: its first reading, at
 // the quota, must not read the empty history as if all had been.
-func TestFirstReadingKeepsTheChance(t *testing.T) {
-	cfg := plain()
+func TestFirstReadingAtCapKeepsAdmitProbability(t *testing.T) {
+	cfg := baseConfig()
 	cfg.Plans = []choice.Plan{{MaxInFlight: 8, Price: 1}}
-	g, rec := open(t, cfg, backends(4))
-	passed := 0
+	g, rec := newTestGateway(t, cfg, newBackends(4))
+	admitted := 0
 	for i := range uint32(40) {
-		if ask(g, rec, time.Duration(i)*10*ms, choice.Request{ID: i + 1, Customer: 1, SetSize: 1}, 1) {
-			passed++
+		if submitRequest(g, rec, time.Duration(i)*10*ms, choice.Request{ID: i + 1, Customer: 1, SetSize: 1}, 1) {
+			admitted++
 		}
 	}
-	if passed < 38 {
-		t.Errorf("%d of 40 passed with the peak at the cap, want 38 at least", passed)
+	if admitted < 38 {
+		t.Errorf("%d of 40 passed with the peak at the cap, want 38 at least", admitted)
 	}
 }
 
 // A connect failure costs no backend any work, so it is tried elsewhere even
 // with the budget for further attempts spent.
-func TestConnectFailuresAreFreeOfTheBudget(t *testing.T) {
-	g, rec := open(t, plain(), backends(8))
+func TestConnectFailuresDoNotUseRetryBudget(t *testing.T) {
+	g, rec := newTestGateway(t, baseConfig(), newBackends(8))
 	for i := range uint32(30) {
 		now, id := time.Duration(i)*20*ms, i+1
 		g.Request(now, choice.Request{ID: id, Customer: uint64(i), SetSize: 1, Units: 1, TimeLeft: time.Second})
@@ -487,57 +487,57 @@
 }
 
 // A ceiling's part that is not full again must not be forgotten with its customer.
-func TestCeilingOutlivesAnIdleCustomer(t *testing.T) {
-	cfg := plain()
+func TestIdleCustomerKeepsDrawnCeiling(t *testing.T) {
+	cfg := baseConfig()
 	cfg.Plans[0] = choice.Plan{Rate: 100, Burst: 100, CeilingRate: 0.5, CeilingBurst: 40, Price: 1}
-	g, rec := open(t, cfg, backends(4))
+	g, rec := newTestGateway(t, cfg, newBackends(4))
 	now, id := 200*time.Second, uint32(0) // the part of 40 has filled
-	take := func() (n int) {
+	countAdmitted := func() (n int) {
 		for range 60 {
 			id++
-			if ask(g, rec, now, choice.Request{ID: id, Customer: 1, SetSize: 1}, -1) {
+			if submitRequest(g, rec, now, choice.Request{ID: id, Customer: 1, SetSize: 1}, -1) {
 				n++
 			}
 		}
 		return
 	}
-	if first := take(); first != 40 {
+	if first := countAdmitted(); first != 40 {
 		t.Fatalf("%d passed of a full part, want 40", first)
 	}
 	now += 40 * time.Second
-	ask(g, rec, now, choice.Request{ID: 9999, Customer: 2, SetSize: 1}, -1)
-	if again := take(); again > 20 {
-		t.Errorf("%d passed 40 s later, want the 20 that have filled", again)
+	submitRequest(g, rec, now, choice.Request{ID: 9999, Customer: 2, SetSize: 1}, -1)
+	if later := countAdmitted(); later > 20 {
+		t.Errorf("%d passed 40 s later, want the 20 that have filled", later)
 	}
 }
 
 // A request in a customer's name that names another plan, by mistake or by
 // malice, must not clear what is known of him.
-func TestOtherPlanLeavesTheCustomersRecord(t *testing.T) {
-	cfg := plain()
+func TestOtherPlanDoesNotResetCustomer(t *testing.T) {
+	cfg := baseConfig()
 	cfg.Plans = []choice.Plan{
 		{Rate: 100, Burst: 100, CeilingRate: 0.5, CeilingBurst: 40, Price: 1}, {Rate: 100, Burst: 100, Price: 1}}
-	g, rec := open(t, cfg, backends(4))
-	now, passed := 200*time.Second, 0 // the ceiling's part of 40 has filled
+	g, rec := newTestGateway(t, cfg, newBackends(4))
+	now, admitted := 200*time.Second, 0 // the ceiling's part of 40 has filled
 	for id := range uint32(60) {
-		ask(g, rec, now, choice.Request{ID: 1000 + id, Customer: 1, Plan: 1, SetSize: 1}, -1)
-		if ask(g, rec, now, choice.Request{ID: id, Customer: 1, SetSize: 1}, -1) {
-			passed++
+		submitRequest(g, rec, now, choice.Request{ID: 1000 + id, Customer: 1, Plan: 1, SetSize: 1}, -1)
+		if submitRequest(g, rec, now, choice.Request{ID: id, Customer: 1, SetSize: 1}, -1) {
+			admitted++
 		}
 	}
-	if passed != 40 {
-		t.Errorf("%d passed beside another plan's requests, want the part of 40", passed)
+	if admitted != 40 {
+		t.Errorf("%d passed beside another plan's requests, want the part of 40", admitted)
 	}
 }
 
 // Before any latency is learned, many gateways must not let out more together
 // than the fleet works well with.
-func TestFirstWindowIsSharedByTheGateways(t *testing.T) {
+func TestInitialConcurrencyLimitIsShared(t *testing.T) {
 	for _, tier := range []struct {
 		gateways    int
 		backends    uint32
-		overCost    float64
-		least, most int
+		overuseCost    float64
+		minSent, maxSent int
 	}{
 		{4, 12, 1, 15, 19}, // even parts of five a backend, and chance arrivals' slack
 		{4, 12, 0, 15, 19},
@@ -545,27 +545,27 @@
 		{80, 60, 1, 4, 7},   // an even part of four
 		{80, 60, 0, 20, 26}, // which the busy one of eighty needs more than once
 	} {
-		cfg := plain()
-		cfg.Gateways, cfg.Plans[0].OveruseCost = tier.gateways, tier.overCost
-		g, rec := open(t, cfg, backends(tier.backends))
+		cfg := baseConfig()
+		cfg.Gateways, cfg.Plans[0].OveruseCost = tier.gateways, tier.overuseCost
+		g, rec := newTestGateway(t, cfg, newBackends(tier.backends))
 		for i := range uint32(100) {
 			g.Request(0, choice.Request{ID: i + 1, Customer: uint64(i), SetSize: 1, Units: 1, TimeLeft: time.Second})
 		}
-		if n := len(rec.sent); n < tier.least || n > tier.most {
+		if n := len(rec.sent); n < tier.minSent || n > tier.maxSent {
 			t.Errorf("%d let out by one of %d gateways to %d backends, overuse at %v, want %d to %d",
-				n, tier.gateways, tier.backends, tier.overCost, tier.least, tier.most)
+				n, tier.gateways, tier.backends, tier.overuseCost, tier.minSent, tier.maxSent)
 		}
 	}
 }
 
 // Probes keep to a share of the requests, whatever the number of gateways and
 // backends: at 400 gateways a fixed pace would outnumber the requests.
-func TestProbesKeepToAShareOfTheRequests(t *testing.T) {
-	cfg := plain()
+func TestProbeRateIsProportionalToRequests(t *testing.T) {
+	cfg := baseConfig()
 	cfg.Gateways, cfg.Probing, cfg.ReportFields = 400, true, []string{"inflight"}
-	g, rec := open(t, cfg, backends(87))
+	g, rec := newTestGateway(t, cfg, newBackends(87))
 	for i := range uint32(100) {
-		ask(g, rec, time.Duration(i)*200*ms, choice.Request{ID: i + 1, Customer: uint64(i), SetSize: 1}, -1)
+		submitRequest(g, rec, time.Duration(i)*200*ms, choice.Request{ID: i + 1, Customer: uint64(i), SetSize: 1}, -1)
 	}
 	if n := len(rec.probed); n < 20 || n > 40 {
 		t.Errorf("%d probes for 100 requests, want about 30", n)
@@ -581,20 +581,20 @@
 
 // Gateways with nothing out know nothing of each other's picks: they must not
 // all find the same backend best, whatever its size, zone or place in the list.
-func TestManyGatewaysSpreadTheirPicks(t *testing.T) {
-	cfg := plain()
+func TestManyGatewaysPickDifferentBackends(t *testing.T) {
+	cfg := baseConfig()
 	cfg.Gateways, cfg.CrossZoneCost, cfg.WeightsTrusted = 400, 0.02, true
-	list := backends(20)
+	list := newBackends(20)
 	for i := range list {
 		list[i].Zone, list[i].Weight = i%3, 1+float64(i%4)/20
 	}
-	first, sent := map[uint32]int{}, 0
+	firstPicks, sent := map[uint32]int{}, 0
 	for self := range cfg.Gateways {
 		cfg.Self = self
-		g, rec := open(t, cfg, list)
-		ask(g, rec, 0, choice.Request{ID: 1, Customer: 1, SetSize: 1}, -1)
-		if to := rec.sent[1]; len(to) > 0 { // the window lets out a part of an attempt, by chance
-			first[to[0]]++
+		g, rec := newTestGateway(t, cfg, list)
+		submitRequest(g, rec, 0, choice.Request{ID: 1, Customer: 1, SetSize: 1}, -1)
+		if sentTo := rec.sent[1]; len(sentTo) > 0 { // the window lets out a part of an attempt, by chance
+			firstPicks[sentTo[0]]++
 			sent++
 		}
 	}
@@ -602,21 +602,21 @@
 		t.Errorf("%d of 400 first requests sent on, want most", sent)
 	}
 	for id := uint32(1); id <= 20; id++ {
-		if n := first[id]; n > 60 {
+		if n := firstPicks[id]; n > 60 {
 			t.Errorf("backend %d picked by %d of 400 gateways, want about 20 and never three times that", id, n)
 		}
 	}
 }
 
 // A backend that is gone with nothing out is forgotten.
-func TestGoneBackendIsForgotten(t *testing.T) {
-	g, rec := open(t, plain(), backends(2))
-	g.UpdateBackends(time.Second, choice.Full, backends(1))
+func TestRemovedBackendIsDropped(t *testing.T) {
+	g, rec := newTestGateway(t, baseConfig(), newBackends(2))
+	g.UpdateBackends(time.Second, choice.Full, newBackends(1))
 	for i := range uint32(20) {
-		ask(g, rec, 2*time.Second, choice.Request{ID: i + 1, Customer: uint64(i), SetSize: 1}, -1)
+		submitRequest(g, rec, 2*time.Second, choice.Request{ID: i + 1, Customer: uint64(i), SetSize: 1}, -1)
 	}
-	for id, to := range rec.sent {
-		if slices.Contains(to, 2) {
+	for id, sentTo := range rec.sent {
+		if slices.Contains(sentTo, 2) {
 			t.Errorf("request %d went to the backend that is gone", id)
 		}
 	}
@@ -627,217 +627,217 @@
 
 // A client's repeat says that another gateway refused it: where a customer is
 // not yet measured, repeats pass less often than first tries.
-func TestRepeatsOfTheUnmeasuredPassLess(t *testing.T) {
-	cfg := plain()
+func TestClientRetryOfUnmeasuredCustomerIsLessLikely(t *testing.T) {
+	cfg := baseConfig()
 	cfg.Gateways = 40
-	passed := map[bool]int{}
-	for _, repeat := range []bool{false, true} {
-		g, rec := open(t, cfg, backends(400))
+	admitted := map[bool]int{}
+	for _, retry := range []bool{false, true} {
+		g, rec := newTestGateway(t, cfg, newBackends(400))
 		for i := range uint32(200) {
-			if ask(g, rec, 0, choice.Request{ID: i + 1, Customer: uint64(i), SetSize: 40, ClientRetry: repeat}, -1) {
-				passed[repeat]++
+			if submitRequest(g, rec, 0, choice.Request{ID: i + 1, Customer: uint64(i), SetSize: 40, ClientRetry: retry}, -1) {
+				admitted[retry]++
 			}
 		}
 	}
-	if passed[false] < 190 || passed[true] > passed[false]*3/4 {
-		t.Errorf("%d first tries and %d repeats passed of 200 each, want nearly all and far fewer", passed[false], passed[true])
+	if admitted[false] < 190 || admitted[true] > admitted[false]*3/4 {
+		t.Errorf("%d first tries and %d repeats passed of 200 each, want nearly all and far fewer", admitted[false], admitted[true])
 	}
 }
 
 // A gateway of sixty expects a fraction of a unit a second of a customer: one
 // request is then no sign of a surge, and must not halve the chance of the next.
-func TestSingleRequestIsNoSurge(t *testing.T) {
-	cfg := plain()
+func TestSingleRequestIsNotASurge(t *testing.T) {
+	cfg := baseConfig()
 	cfg.Gateways, cfg.MaxUnits, cfg.MeterPeriod = 60, 2, time.Second
 	cfg.Plans[0].Rate, cfg.Plans[0].Burst, cfg.Plans[0].OveruseCost = 4, 17, 0
-	passed, second := 0, 0
+	admitted, total := 0, 0
 	for seed := range uint64(100) {
-		rec := record()
+		rec := newRecorder()
 		g, err := choice.New(cfg, seed, 0, rec)
 		if err != nil {
 			t.Fatal(err)
 		}
-		g.UpdateBackends(0, choice.Cached, backends(60))
+		g.UpdateBackends(0, choice.Cached, newBackends(60))
 		for i, now := range []time.Duration{0, 4 * time.Second, 4300 * ms} { // use at 8 in 10 of the quota
-			ok := ask(g, rec, now, choice.Request{ID: uint32(i + 1), Customer: 1, SetSize: 60, Units: 2}, 0.8)
+			ok := submitRequest(g, rec, now, choice.Request{ID: uint32(i + 1), Customer: 1, SetSize: 60, Units: 2}, 0.8)
 			if i == 2 {
-				second++
+				total++
 				if ok {
-					passed++
+					admitted++
 				}
 			}
 		}
 	}
-	if passed < 55 {
-		t.Errorf("%d of %d pass right behind another request, want most", passed, second)
+	if admitted < 55 {
+		t.Errorf("%d of %d pass right behind another request, want most", admitted, total)
 	}
 }
 
 // One of sixty gateways hears of a customer for the first time, and that he uses
 // more than his quota: the others refuse him already, and he asks for far more.
-func TestFirstReadingBeyondTheQuotaTellsOfMore(t *testing.T) {
-	pass := func(gateways int, used float64) (passed int) {
-		cfg := plain()
+func TestFirstReadingAboveQuotaIndicatesOveruse(t *testing.T) {
+	countAdmitted := func(gateways int, reading float64) (admitted int) {
+		cfg := baseConfig()
 		cfg.Gateways, cfg.MaxUnits, cfg.MeterPeriod = gateways, 2, time.Second
 		cfg.Plans[0].Rate, cfg.Plans[0].Burst, cfg.Plans[0].OveruseCost = 4, 17, 0
 		for seed := range uint64(200) {
-			rec := record()
+			rec := newRecorder()
 			g, err := choice.New(cfg, seed, 0, rec)
 			if err != nil {
 				t.Fatal(err)
 			}
-			g.UpdateBackends(0, choice.Cached, backends(60))
-			ask(g, rec, 0, choice.Request{ID: 1, Customer: 1, SetSize: gateways, Units: 2}, used)
-			if ask(g, rec, 8*time.Second, choice.Request{ID: 2, Customer: 1, SetSize: gateways, Units: 2}, used) {
-				passed++
+			g.UpdateBackends(0, choice.Cached, newBackends(60))
+			submitRequest(g, rec, 0, choice.Request{ID: 1, Customer: 1, SetSize: gateways, Units: 2}, reading)
+			if submitRequest(g, rec, 8*time.Second, choice.Request{ID: 2, Customer: 1, SetSize: gateways, Units: 2}, reading) {
+				admitted++
 			}
 		}
 		return
 	}
-	if n := pass(60, 1.2); n > 130 {
+	if n := countAdmitted(60, 1.2); n > 130 {
 		t.Errorf("%d of 200 pass after a first reading of 120 percent, want far fewer than all", n)
 	}
-	if n := pass(60, 0.5); n < 190 {
+	if n := countAdmitted(60, 0.5); n < 190 {
 		t.Errorf("%d of 200 pass after a first reading of half the quota, want nearly all", n)
 	}
 }
 
 // One of a hundred gateways is asked again and again by a customer that it has
 // not measured: no reading tells, its own arrivals must.
-func TestOwnArrivalsThinOutAnUnmeasuredSpike(t *testing.T) {
-	cfg := plain()
+func TestSpikeOfUnmeasuredCustomerIsLimited(t *testing.T) {
+	cfg := baseConfig()
 	cfg.Gateways = 100
-	passed := 0
-	g, rec := open(t, cfg, backends(1000))
+	admitted := 0
+	g, rec := newTestGateway(t, cfg, newBackends(1000))
 	for i := range uint32(100) {
-		if ask(g, rec, time.Duration(i)*10*ms, choice.Request{ID: i + 1, Customer: 1, SetSize: 100}, -1) {
-			passed++
+		if submitRequest(g, rec, time.Duration(i)*10*ms, choice.Request{ID: i + 1, Customer: 1, SetSize: 100}, -1) {
+			admitted++
 		}
 	}
-	if passed < 1 || passed > 12 {
-		t.Errorf("%d of 100 in a second passed at one of 100 gateways of a quota of 10 a second, want a few", passed)
+	if admitted < 1 || admitted > 12 {
+		t.Errorf("%d of 100 in a second passed at one of 100 gateways of a quota of 10 a second, want a few", admitted)
 	}
 }
 
 // Without a meter a gateway estimates the offered rate from what is asked there. All together thin out a
 // customer who asks for many times his quota, and hardly touch one who keeps to it.
-func TestOwnCountsHoldTheQuotaWithoutAMeter(t *testing.T) {
-	const set, rate, span, warm = 100, 2.0, 60 * time.Second, 20 * time.Second
-	passed := func(use float64) (share float64) {
-		cfg := plain()
-		cfg.Gateways, cfg.MeterPeriod = set, 0
+func TestQuotaIsEnforcedWithoutMeter(t *testing.T) {
+	const gatewayCount, rate, duration, warmUp = 100, 2.0, 60 * time.Second, 20 * time.Second
+	admittedShare := func(useRatio float64) (share float64) {
+		cfg := baseConfig()
+		cfg.Gateways, cfg.MeterPeriod = gatewayCount, 0
 		cfg.Plans[0].Rate, cfg.Plans[0].Burst = rate, 4*rate
 		rng := rand.New(rand.NewPCG(1, 2))
-		asked, got := 0.0, 0.0
-		for self := range set {
+		requested, admitted := 0.0, 0.0
+		for self := range gatewayCount {
 			cfg.Self = self
-			rec := record()
+			rec := newRecorder()
 			g, err := choice.New(cfg, uint64(self), 0, rec)
 			if err != nil {
 				t.Fatal(err)
 			}
-			g.UpdateBackends(0, choice.Cached, backends(20))
+			g.UpdateBackends(0, choice.Cached, newBackends(20))
 			now, id := time.Duration(0), uint32(0)
 			for {
-				now += time.Duration(rng.ExpFloat64() * float64(set) / (rate * use) * float64(time.Second))
-				if now > span {
+				now += time.Duration(rng.ExpFloat64() * float64(gatewayCount) / (rate * useRatio) * float64(time.Second))
+				if now > duration {
 					break
 				}
 				id++
-				went := ask(g, rec, now, choice.Request{ID: id, Customer: 1, SetSize: set}, -1)
-				if now > warm {
-					asked++
-					if went {
-						got++
+				ok := submitRequest(g, rec, now, choice.Request{ID: id, Customer: 1, SetSize: gatewayCount}, -1)
+				if now > warmUp {
+					requested++
+					if ok {
+						admitted++
 					}
 				}
 			}
 		}
-		return got / asked
+		return admitted / requested
 	}
-	if share := passed(0.3); share < 0.9 {
+	if share := admittedShare(0.3); share < 0.9 {
 		t.Errorf("of a customer's requests inside his quota %.2f pass", share)
 	}
-	if share := passed(5); share > 0.8 { // each sees but one request in ten seconds
+	if share := admittedShare(5); share > 0.8 { // each sees but one request in ten seconds
 		t.Errorf("of five times a quota %.2f pass", share)
 	}
 }
 
 // A reading far over the quota is half a minute old and nothing was asked here
 // since: it must not refuse the customer for ever.
-func TestOldReadingBoundsNothing(t *testing.T) {
-	cfg := plain()
+func TestOutdatedReadingDoesNotBlockCustomer(t *testing.T) {
+	cfg := baseConfig()
 	cfg.Gateways = 100
-	passed := 0
+	admitted := 0
 	for customer := range uint64(40) {
-		g, rec := open(t, cfg, backends(1000))
+		g, rec := newTestGateway(t, cfg, newBackends(1000))
 		id := uint32(1)
 		for i := range 3 {
 			now := time.Duration(i) * 600 * ms
-			ask(g, rec, now, choice.Request{ID: id, Customer: customer, SetSize: 100}, 1.5)
+			submitRequest(g, rec, now, choice.Request{ID: id, Customer: customer, SetSize: 100}, 1.5)
 			id++
 		}
-		if ask(g, rec, 30*time.Second, choice.Request{ID: id, Customer: customer, SetSize: 100}, 0.2) {
-			passed++
+		if submitRequest(g, rec, 30*time.Second, choice.Request{ID: id, Customer: customer, SetSize: 100}, 0.2) {
+			admitted++
 		}
 	}
-	if passed < 15 {
-		t.Errorf("%d of 40 passed half a minute after readings of 1.5 quotas, want the chance alone to decide", passed)
+	if admitted < 15 {
+		t.Errorf("%d of 40 passed half a minute after readings of 1.5 quotas, want the chance alone to decide", admitted)
 	}
 }
 
 // Readings and units that are no amounts leave no trace: the customer goes on as if they had not come.
-func TestReadingsAndUnitsThatAreNoAmounts(t *testing.T) {
-	for _, bad := range []float64{math.NaN(), math.Inf(1), -1} {
+func TestInvalidReadingsAndUnits(t *testing.T) {
+	for _, invalid := range []float64{math.NaN(), math.Inf(1), -1} {
 		logs := [2][]string{}
 		for i := range logs {
-			g, rec := open(t, plain(), backends(8))
+			g, rec := newTestGateway(t, baseConfig(), newBackends(8))
 			for id := uint32(1); id < 100; id++ {
 				now := time.Duration(id) * 50 * ms
 				r := choice.Request{ID: id, Customer: 1, SetSize: 4, Units: 1, TimeLeft: time.Second}
 				g.Request(now, r)
-				if to := rec.sent[id]; len(to) > 0 {
-					o := choice.Outcome{ID: id, Backend: to[0], Elapsed: 10 * ms, Answered: true, Metered: true, Used: 1.2}
+				if sentTo := rec.sent[id]; len(sentTo) > 0 {
+					o := choice.Outcome{ID: id, Backend: sentTo[0], Elapsed: 10 * ms, Answered: true, Metered: true, Used: 1.2}
 					if id%5 == 0 {
-						o.Metered, o.Used = i == 0, bad
+						o.Metered, o.Used = i == 0, invalid
 					}
 					g.Outcome(now, o)
 				}
 			}
 			logs[i] = rec.log
-			g.Request(6*time.Second, choice.Request{ID: 1000, SetSize: 1, Units: bad, TimeLeft: time.Second})
+			g.Request(6*time.Second, choice.Request{ID: 1000, SetSize: 1, Units: invalid, TimeLeft: time.Second})
 			if !rec.refused[1000] {
-				t.Errorf("a request of %v units was not refused at once", bad)
+				t.Errorf("a request of %v units was not refused at once", invalid)
 			}
 		}
 		if !reflect.DeepEqual(logs[0], logs[1]) {
-			t.Errorf("a reading of %v changed what followed", bad)
+			t.Errorf("a reading of %v changed what followed", invalid)
 		}
 	}
 }
 
 // Where fresh connections cost, picks prefer backends to which one is kept, as
 // long as those are not busier; a connection idle for too long counts no more.
-func TestPicksPreferKeptConnections(t *testing.T) {
-	reached := func(cost float64, gap time.Duration) int {
-		cfg := plain()
+func TestPicksPreferReusableConnections(t *testing.T) {
+	countBackends := func(cost float64, interval time.Duration) int {
+		cfg := baseConfig()
 		cfg.Gateways, cfg.HandshakeCost, cfg.ConnIdleTimeout = 80, cost, 10*time.Second
-		g, rec := open(t, cfg, backends(60))
-		to := map[uint32]bool{}
+		g, rec := newTestGateway(t, cfg, newBackends(60))
+		used := map[uint32]bool{}
 		for i := range uint32(60) {
-			now := time.Duration(i) * gap
+			now := time.Duration(i) * interval
 			g.Request(now, choice.Request{ID: i + 1, Customer: uint64(i), SetSize: 1, Units: 1, TimeLeft: time.Second})
 			for _, b := range rec.sent[i+1] {
-				to[b] = true
+				used[b] = true
 				// As slow as is taken for usual at the start, so that latency speaks for no backend.
 				g.Outcome(now, choice.Outcome{ID: i + 1, Backend: b, Status: choice.OK, Elapsed: 100 * ms, Answered: true})
 			}
 		}
-		return len(to)
+		return len(used)
 	}
-	free, dear, idle := reached(0, 50*ms), reached(0.08, 50*ms), reached(0.08, 6*time.Second)
-	if dear > free*2/3 {
-		t.Errorf("60 requests one by one open connections to %d backends, %d if that costs nothing; want far fewer", dear, free)
+	free, costly, idle := countBackends(0, 50*ms), countBackends(0.08, 50*ms), countBackends(0.08, 6*time.Second)
+	if costly > free*2/3 {
+		t.Errorf("60 requests one by one open connections to %d backends, %d if that costs nothing; want far fewer", costly, free)
 	}
 	if idle < free*5/6 {
 		t.Errorf("with connections idle for too long %d backends are used, want about %d", idle, free)
@@ -846,28 +846,28 @@
 
 // Neither a repeat nor a second copy begins for a client that has gone, however
 // what was out for it ends.
-func TestNothingMoreIsSentForAClientThatLeft(t *testing.T) {
-	for _, end := range []choice.Status{choice.Error, choice.Refused, choice.Timeout, choice.ConnectFailed, choice.Reset, choice.Cancelled, choice.CancelledBeforeSend} {
-		for _, left := range []bool{false, true} {
-			cfg := plain()
+func TestNoFurtherAttemptsAfterClientDisconnect(t *testing.T) {
+	for _, status := range []choice.Status{choice.Error, choice.Refused, choice.Timeout, choice.ConnectFailed, choice.Reset, choice.Cancelled, choice.CancelledBeforeSend} {
+		for _, disconnected := range []bool{false, true} {
+			cfg := baseConfig()
 			cfg.Hedging = true
-			g, rec := open(t, cfg, backends(4))
+			g, rec := newTestGateway(t, cfg, newBackends(4))
 			for id := uint32(1); id <= 2; id++ {
 				g.Request(0, choice.Request{ID: id, Customer: 1, SetSize: 1, Units: 1, TimeLeft: 2 * time.Second})
 			}
-			if left {
+			if disconnected {
 				g.ClientDisconnected(ms, 1)
 				g.ClientDisconnected(ms, 2)
 			}
 			// The first is due for a second copy, the attempt of the other ends.
 			g.TimerExpired(300*ms, 1<<8|1)
-			g.Outcome(300*ms, choice.Outcome{ID: 2, Backend: rec.sent[2][0], Status: end, Answered: left})
-			copies, repeats := len(rec.sent[1])-1, len(rec.sent[2])-1
-			if left && (copies > 0 || repeats > 0) {
-				t.Errorf("status %d: %d second copies and %d repeats for clients that are gone", end, copies, repeats)
+			g.Outcome(300*ms, choice.Outcome{ID: 2, Backend: rec.sent[2][0], Status: status, Answered: disconnected})
+			hedges, retries := len(rec.sent[1])-1, len(rec.sent[2])-1
+			if disconnected && (hedges > 0 || retries > 0) {
+				t.Errorf("status %d: %d second copies and %d repeats for clients that are gone", status, hedges, retries)
 			}
-			if wanted := end != choice.CancelledBeforeSend; !left && (copies != 1 || (repeats == 1) != wanted) {
-				t.Errorf("status %d: %d second copies and %d repeats for clients that wait", end, copies, repeats)
+			if wantRetry := status != choice.CancelledBeforeSend; !disconnected && (hedges != 1 || (retries == 1) != wantRetry) {
+				t.Errorf("status %d: %d second copies and %d repeats for clients that wait", status, hedges, retries)
 			}
 		}
 	}
@@ -875,31 +875,31 @@
 
 // The store that the meter shows bounds a customer as far as use beyond the
 // quota costs. Where it costs nothing, the one chance decides alone.
-func TestStoreBoundsAsFarAsOveruseCosts(t *testing.T) {
+func TestEmptyTokenBucketLimitsByOveruseCost(t *testing.T) {
 	const customers = 400
 	for _, c := range []struct {
 		cost        float64
-		least, most int
+		minAdmitted, maxAdmitted int
 	}{{0, customers / 6, customers / 2}, {0.5, customers / 12, customers / 4}, {1, 0, 0}} {
-		cfg := plain()
+		cfg := baseConfig()
 		cfg.Gateways, cfg.Plans[0].OveruseCost = 100, c.cost
-		g, rec := open(t, cfg, backends(1000))
-		id, passed := uint32(0), 0
+		g, rec := newTestGateway(t, cfg, newBackends(1000))
+		id, admitted := uint32(0), 0
 		for customer := range uint64(customers) {
 			// Two readings of twice the quota: the store is empty, the chance a half.
 			now := time.Duration(customer) * 3 * time.Second
 			for range 2 {
 				id++
-				ask(g, rec, now, choice.Request{ID: id, Customer: customer, SetSize: 100}, 2)
+				submitRequest(g, rec, now, choice.Request{ID: id, Customer: customer, SetSize: 100}, 2)
 				now += 600 * ms
 			}
 			id++
-			if ask(g, rec, now, choice.Request{ID: id, Customer: customer, SetSize: 100}, -1) {
-				passed++
+			if submitRequest(g, rec, now, choice.Request{ID: id, Customer: customer, SetSize: 100}, -1) {
+				admitted++
 			}
 		}
-		if passed < c.least || passed > c.most {
-			t.Errorf("overuse at %v: %d of %d pass an empty store at twice the quota, want %d to %d", c.cost, passed, customers, c.least, c.most)
+		if admitted < c.minAdmitted || admitted > c.maxAdmitted {
+			t.Errorf("overuse at %v: %d of %d pass an empty store at twice the quota, want %d to %d", c.cost, admitted, customers, c.minAdmitted, c.maxAdmitted)
 		}
 	}
 }
@@ -907,69 +907,69 @@
 // At one of many gateways a few backends taken by chance hardly ever hold a
 // kept connection. Where handshakes cost, one that does is looked at as well;
 // all gateways together still spread their requests.
-func TestKeptConnectionsAreFoundAmongManyBackends(t *testing.T) {
-	const gateways, number, requests = 120, 200, 200
+func TestReusableConnectionsAreFoundAmongManyBackends(t *testing.T) {
+	const gateways, backendCount, requests = 120, 200, 200
 	for _, cost := range []float64{0, 0.08} {
-		cfg := plain()
+		cfg := baseConfig()
 		cfg.Gateways, cfg.HandshakeCost, cfg.ConnIdleTimeout = gateways, cost, 30*time.Second
 		cfg.Plans[0] = choice.Plan{Rate: 1e6, Burst: 1e6, Price: 1}
 		rng := rand.New(rand.NewPCG(3, 4))
-		fresh, load := 0, map[uint32]int{}
+		newConnections, load := 0, map[uint32]int{}
 		for self := range gateways {
 			cfg.Self = self
-			rec := record()
+			rec := newRecorder()
 			g, err := choice.New(cfg, uint64(self), 0, rec)
 			if err != nil {
 				t.Fatal(err)
 			}
-			g.UpdateBackends(0, choice.Cached, backends(number))
-			kept := map[uint32]int{}
+			g.UpdateBackends(0, choice.Cached, newBackends(backendCount))
+			connections := map[uint32]int{}
 			for id := range uint32(requests) {
 				now := time.Duration(id) * 50 * ms
 				g.Request(now, choice.Request{ID: id + 1, Customer: uint64(id), SetSize: gateways, Units: 1, TimeLeft: time.Second})
 				if len(rec.sent[id+1]) == 0 {
 					continue
 				}
-				to := rec.sent[id+1][0]
-				load[to]++
-				if kept[to] == 0 {
-					fresh++
-					kept[to]++
+				backend := rec.sent[id+1][0]
+				load[backend]++
+				if connections[backend] == 0 {
+					newConnections++
+					connections[backend]++
 				}
-				took := time.Duration(30+rng.IntN(20)) * ms
-				g.Outcome(now+took, choice.Outcome{ID: id + 1, Backend: to, Status: choice.OK, Elapsed: took, Answered: true})
+				latency := time.Duration(30+rng.IntN(20)) * ms
+				g.Outcome(now+latency, choice.Outcome{ID: id + 1, Backend: backend, Status: choice.OK, Elapsed: latency, Answered: true})
 			}
 		}
-		sent, most := 0, 0
+		sent, maxLoad := 0, 0
 		for _, n := range load {
 			sent += n
-			most = max(most, n)
+			maxLoad = max(maxLoad, n)
 		}
-		t.Logf("handshakes at %v: %d sent, %d on fresh connections, %d to the busiest backend", cost, sent, fresh, most)
-		if cost > 0 && fresh > sent/4 {
-			t.Errorf("handshakes at %v: %d of %d go on fresh connections, want a quarter at most", cost, fresh, sent)
+		t.Logf("handshakes at %v: %d sent, %d on fresh connections, %d to the busiest backend", cost, sent, newConnections, maxLoad)
+		if cost > 0 && newConnections > sent/4 {
+			t.Errorf("handshakes at %v: %d of %d go on fresh connections, want a quarter at most", cost, newConnections, sent)
 		}
-		if most > 2*sent/number {
-			t.Errorf("handshakes at %v: the busiest backend gets %d of %d, want twice the mean at most", cost, most, sent)
+		if maxLoad > 2*sent/backendCount {
+			t.Errorf("handshakes at %v: the busiest backend gets %d of %d, want twice the mean at most", cost, maxLoad, sent)
 		}
 	}
 }
 
 // A repeat of a guarded request may have to wait for its connection as long as
 // the settings let it, and has to begin within the window even then.
-func TestRepeatBeginsWithinTheWindowOnALateConnection(t *testing.T) {
+func TestRetryStartsWithinDedupWindow(t *testing.T) {
 	for _, c := range []struct {
-		ended  time.Duration
-		repeat bool
+		endedAt  time.Duration
+		retry bool
 	}{{700 * ms, true}, {749 * ms, true}, {750 * ms, false}, {990 * ms, false}} {
-		cfg := plain()
+		cfg := baseConfig()
 		cfg.ConnectTimeout = 250 * ms
 		cfg.Classes[0].Effect, cfg.Classes[0].Group, cfg.Classes[0].DedupWindow = choice.Guarded, choice.GroupAll, time.Second
-		g, rec := open(t, cfg, backends(4))
+		g, rec := newTestGateway(t, cfg, newBackends(4))
 		g.Request(0, choice.Request{ID: 1, Customer: 1, SetSize: 1, Units: 1, TimeLeft: 2 * time.Second})
-		g.Outcome(c.ended, choice.Outcome{ID: 1, Backend: rec.sent[1][0], Status: choice.Reset, Elapsed: c.ended})
-		if repeated := len(rec.sent[1]) == 2; repeated != c.repeat || rec.refused[1] == c.repeat {
-			t.Errorf("reset after %v of a window of 1s: repeated %v, refused %v; want it repeated: %v", c.ended, repeated, rec.refused[1], c.repeat)
+		g.Outcome(c.endedAt, choice.Outcome{ID: 1, Backend: rec.sent[1][0], Status: choice.Reset, Elapsed: c.endedAt})
+		if retried := len(rec.sent[1]) == 2; retried != c.retry || rec.refused[1] == c.retry {
+			t.Errorf("reset after %v of a window of 1s: repeated %v, refused %v; want it repeated: %v", c.endedAt, retried, rec.refused[1], c.retry)
 		}
 	}
 }
--- a/choice/limits_test.go
+++ b/choice/limits_test.go
@@ -10,13 +10,13 @@
 )
 
 const (
-	longestFile = 400 // lines of a file of decisions, blank ones not counted
-	widestLine  = 110 // characters, a tab counted as four
+	maxFileLines = 400 // lines of a file of decisions, blank ones not counted
+	maxLineWidth  = 110 // characters, a tab counted as four
 )
 
 // Each decision is read on call, so its file stays small enough to be read at
 // once, and the deploy file names every one that holds decisions.
-func TestFilesOfDecisionsAreShortAndListed(t *testing.T) {
+func TestSourceFilesAreShortAndListed(t *testing.T) {
 	deploy, err := os.ReadFile("../deploy/balancer.toml")
 	if err != nil {
 		t.Fatal(err)
@@ -48,11 +48,11 @@
 		if strings.TrimSpace(line) != "" {
 			lines++
 		}
-		if n := utf8.RuneCountInString(strings.ReplaceAll(line, "\t", "    ")); n > widestLine {
-			t.Errorf("%s:%d: %d characters, want at most %d", name, i+1, n, widestLine)
+		if n := utf8.RuneCountInString(strings.ReplaceAll(line, "\t", "    ")); n > maxLineWidth {
+			t.Errorf("%s:%d: %d characters, want at most %d", name, i+1, n, maxLineWidth)
 		}
 	}
-	if lines > longestFile {
-		t.Errorf("%s holds %d lines, want at most %d", name, lines, longestFile)
+	if lines > maxFileLines {
+		t.Errorf("%s holds %d lines, want at most %d", name, lines, maxFileLines)
 	}
 }
--- a/choice/membership_test.go
+++ b/choice/membership_test.go
@@ -10,8 +10,8 @@
 	"cedarseam/choice"
 )
 
-// fleetLine draws one line of a list of few backends.
-func fleetLine(t *rapid.T) choice.Backend {
+// drawBackend draws one line of a list of few backends.
+func drawBackend(t *rapid.T) choice.Backend {
 	b := choice.Backend{ID: uint32(rapid.IntRange(1, 8).Draw(t, "id")), Weight: rapid.SampledFrom([]float64{0.5, 1, 1.7}).Draw(t, "weight"),
 		State: rapid.SampledFrom([]choice.State{choice.Ready, choice.Ready, choice.Draining, choice.Removed}).Draw(t, "state")}
 	if rapid.IntRange(0, 3).Draw(t, "dated") == 0 {
@@ -22,10 +22,10 @@
 
 // What is counted of the fleet is what a walk over it finds, whatever lists,
 // failures, ejections and ends of attempts come in whatever order.
-func TestCountsOfTheFleetAreThoseOfAWalk(t *testing.T) {
+func TestBackendSetsMatchAllBackends(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		rec := &lastSend{}
-		cfg := plain()
+		rec := &lastSendRecorder{}
+		cfg := baseConfig()
 		cfg.Gateways = rapid.SampledFrom([]int{4, 400}).Draw(t, "gateways")
 		cfg.HandshakeCost, cfg.ConnIdleTimeout = 0.1, time.Duration(rapid.IntRange(0, 2).Draw(t, "idle"))*2*time.Second
 		cfg.WeightsTrusted = true
@@ -33,32 +33,32 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		g.UpdateBackends(0, choice.Full, backends(8))
+		g.UpdateBackends(0, choice.Full, newBackends(8))
 		now, id := time.Duration(0), uint32(0)
 		type attempt struct{ id, backend uint32 }
-		var out []attempt
+		var inFlight []attempt
 		for range rapid.IntRange(1, 120).Draw(t, "events") {
 			now += time.Duration(rapid.IntRange(0, 900).Draw(t, "wait")) * ms
 			switch rapid.IntRange(0, 9).Draw(t, "event") {
 			case 0:
-				g.UpdateBackends(now, choice.Delta, rapid.SliceOfN(rapid.Custom(fleetLine), 0, 4).Draw(t, "change"))
+				g.UpdateBackends(now, choice.Delta, rapid.SliceOfN(rapid.Custom(drawBackend), 0, 4).Draw(t, "change"))
 			case 1:
 				kind := rapid.SampledFrom([]choice.ListKind{choice.Full, choice.Cached, choice.Failed}).Draw(t, "kind")
-				g.UpdateBackends(now, kind, rapid.SliceOfN(rapid.Custom(fleetLine), 4, 12).Draw(t, "list"))
+				g.UpdateBackends(now, kind, rapid.SliceOfN(rapid.Custom(drawBackend), 4, 12).Draw(t, "list"))
 			case 2, 3, 4, 5:
 				id++
 				g.Request(now, choice.Request{ID: id, TimeLeft: 2 * time.Second, Units: 0.01, SetSize: 4})
 				if rec.id == id {
-					out = append(out, attempt{id, rec.backend})
+					inFlight = append(inFlight, attempt{id, rec.backend})
 				}
 			default:
-				if len(out) == 0 {
+				if len(inFlight) == 0 {
 					continue
 				}
-				i := rapid.IntRange(0, len(out)-1).Draw(t, "attempt")
+				i := rapid.IntRange(0, len(inFlight)-1).Draw(t, "attempt")
 				status := rapid.SampledFrom([]choice.Status{choice.OK, choice.Error, choice.Error, choice.Timeout}).Draw(t, "status")
-				g.Outcome(now, choice.Outcome{ID: out[i].id, Backend: out[i].backend, Status: status, Elapsed: ms, Answered: true})
-				out = slices.Delete(out, i, i+1)
+				g.Outcome(now, choice.Outcome{ID: inFlight[i].id, Backend: inFlight[i].backend, Status: status, Elapsed: ms, Answered: true})
+				inFlight = slices.Delete(inFlight, i, i+1)
 			}
 			if err := choice.CheckBackendSets(g); err != nil {
 				t.Fatalf("at %v: %v", now, err)
@@ -69,15 +69,15 @@
 
 // The backends that a complete list leaves out go in an order of the gateway's
 // own: the same seed and events give the same actions.
-func TestCompleteListLeavesTheSameFleetEveryTime(t *testing.T) {
+func TestFullListIsAppliedDeterministically(t *testing.T) {
 	run := func() []string {
-		rec := record()
-		g, err := choice.New(plain(), 7, 0, rec)
+		rec := newRecorder()
+		g, err := choice.New(baseConfig(), 7, 0, rec)
 		if err != nil {
 			t.Fatal(err)
 		}
-		g.UpdateBackends(0, choice.Full, backends(40))
-		g.UpdateBackends(0, choice.Full, backends(40)[15:30])
+		g.UpdateBackends(0, choice.Full, newBackends(40))
+		g.UpdateBackends(0, choice.Full, newBackends(40)[15:30])
 		for id := range uint32(60) {
 			g.Request(time.Duration(id)*10*ms, choice.Request{ID: id + 1, TimeLeft: time.Second, Units: 0.01, SetSize: 4})
 		}
@@ -93,33 +93,33 @@
 
 // Customers who have been idle for long are forgotten a few at a time, however
 // many they are, but for those whose attempts are still out.
-func TestIdleCustomersAreForgottenAFewAtATime(t *testing.T) {
-	const many, few = 1000, 20
-	rec := &lastSend{}
-	cfg := plain()
+func TestIdleCustomersAreEvictedInSmallBatches(t *testing.T) {
+	const customerCount, maxEvicted = 1000, 20
+	rec := &lastSendRecorder{}
+	cfg := baseConfig()
 	cfg.Gateways = 1
 	g, err := choice.New(cfg, 7, 0, rec)
 	if err != nil {
 		t.Fatal(err)
 	}
-	g.UpdateBackends(0, choice.Full, backends(200))
-	for id := uint32(1); id <= many; id++ {
+	g.UpdateBackends(0, choice.Full, newBackends(200))
+	for id := uint32(1); id <= customerCount; id++ {
 		g.Request(0, choice.Request{ID: id, Customer: uint64(id), TimeLeft: time.Hour, Units: 1, SetSize: 1})
 		if rec.id == id && id != 500 {
 			g.Outcome(0, choice.Outcome{ID: id, Backend: rec.backend, Elapsed: ms, Answered: true})
 		}
 	}
 	now, known := time.Duration(0), choice.KnownCustomers(g)
-	if known != many {
-		t.Fatalf("%d customers are known, want %d", known, many)
+	if known != customerCount {
+		t.Fatalf("%d customers are known, want %d", known, customerCount)
 	}
 	for events := 0; known > 1; events++ {
 		now += time.Minute
 		g.TimerExpired(now, 0)
-		if left := choice.KnownCustomers(g); left < known-few || events > many {
-			t.Fatalf("event %d leaves %d customers of %d, want at most %d less", events, left, known, few)
+		if remaining := choice.KnownCustomers(g); remaining < known-maxEvicted || events > customerCount {
+			t.Fatalf("event %d leaves %d customers of %d, want at most %d less", events, remaining, known, maxEvicted)
 		} else {
-			known = left
+			known = remaining
 		}
 	}
 	g.TimerExpired(now+time.Hour, 0)
@@ -134,71 +134,71 @@
 
 // Whoever makes names up fills no memory: as many customers are known as may be,
 // and those with attempts out besides.
-func TestMadeUpCustomersAreBounded(t *testing.T) {
-	const most = 50
-	cfg := plain()
-	cfg.Gateways, cfg.MaxCustomers = 1, most
+func TestCustomerRecordsAreLimited(t *testing.T) {
+	const limit = 50
+	cfg := baseConfig()
+	cfg.Gateways, cfg.MaxCustomers = 1, limit
 	cfg.Plans = append(cfg.Plans, cfg.Plans[0])
-	g, rec := open(t, cfg, backends(300))
-	out := 0
+	g, rec := newTestGateway(t, cfg, newBackends(300))
+	inFlight := 0
 	for id := uint32(1); id <= 2000; id++ {
 		now := time.Duration(id) * ms
 		r := choice.Request{ID: id, Customer: uint64(id), Plan: int(id % 2), SetSize: 1, Units: 1, TimeLeft: time.Hour}
 		if id%20 == 0 { // its attempt stays out
 			if g.Request(now, r); len(rec.sent[id]) > 0 {
-				out++
+				inFlight++
 			}
 			continue
 		}
-		ask(g, rec, now, r, -1)
-		if n := choice.KnownCustomers(g); n > most+out {
-			t.Fatalf("%d customers are known with attempts of %d out, want %d and these at most", n, out, most)
+		submitRequest(g, rec, now, r, -1)
+		if n := choice.KnownCustomers(g); n > limit+inFlight {
+			t.Fatalf("%d customers are known with attempts of %d out, want %d and these at most", n, inFlight, limit)
 		}
 	}
-	if n := choice.KnownCustomers(g); out < 10 || n < most {
-		t.Errorf("%d customers are known with attempts of %d out, want %d at least and 10", n, out, most)
+	if n := choice.KnownCustomers(g); inFlight < 10 || n < limit {
+		t.Errorf("%d customers are known with attempts of %d out, want %d at least and 10", n, inFlight, limit)
 	}
 }
 
 // A customer whose part of a ceiling is drawn does not get it afresh by being
 // crowded out.
-func TestCrowdedOutCustomerGetsNoFreshCeiling(t *testing.T) {
-	cfg := plain()
+func TestEvictedCustomerGetsNoFullCeiling(t *testing.T) {
+	cfg := baseConfig()
 	cfg.Gateways, cfg.MaxCustomers = 1, 20
 	cfg.Plans[0] = choice.Plan{Rate: 100, Burst: 100, CeilingRate: 0.5, CeilingBurst: 40, Price: 1}
-	g, rec := open(t, cfg, backends(4))
+	g, rec := newTestGateway(t, cfg, newBackends(4))
 	now, id := 200*time.Second, uint32(0) // the part of 40 has filled
-	take := func(customer uint64, tries int) (n int) {
-		for range tries {
+	countAdmitted := func(customer uint64, requests int) (n int) {
+		for range requests {
 			id++
-			if ask(g, rec, now, choice.Request{ID: id, Customer: customer, SetSize: 1}, -1) {
+			if submitRequest(g, rec, now, choice.Request{ID: id, Customer: customer, SetSize: 1}, -1) {
 				n++
 			}
 		}
 		return n
 	}
-	if first := take(1, 60); first != 40 {
+	if first := countAdmitted(1, 60); first != 40 {
 		t.Fatalf("%d passed of a full part, want 40", first)
 	}
 	for other := uint64(2); other < 40; other++ {
 		now += ms
-		take(other, 1)
+		countAdmitted(other, 1)
 	}
-	if again := take(1, 60); again > 0 {
+	if again := countAdmitted(1, 60); again > 0 {
 		t.Errorf("%d passed after he was crowded out, want none", again)
 	}
 	now += 20 * time.Second
-	if later := take(1, 60); later > 10 {
+	if later := countAdmitted(1, 60); later > 10 {
 		t.Errorf("%d passed 20 s later, want the 10 that have filled at most", later)
 	}
 }
 
-// BenchmarkMembers measures one change, and a complete list, by the size of the fleet.
-func BenchmarkMembers(b *testing.B) {
+// BenchmarkUpdateBackends measures one change, and a complete list, by the size of the fleet.
+func BenchmarkUpdateBackends(b *testing.B) {
 	for name, size := range map[string]uint32{"1500": 1500, "12000": 12_000, "24000": 24_000} {
-		list := backends(size)
-		start := func(b *testing.B) *choice.Gateway {
-			g, err := choice.New(plain(), 7, 0, &lastSend{})
+		list := newBackends(size)
+		newGateway := func(b *testing.B) *choice.Gateway {
+			g, err := choice.New(baseConfig(), 7, 0, &lastSendRecorder{})
 			if err != nil {
 				b.Fatal(err)
 			}
@@ -207,16 +207,16 @@
 			return g
 		}
 		b.Run("change/"+name, func(b *testing.B) {
-			g := start(b)
+			g := newGateway(b)
 			states := []choice.State{choice.Draining, choice.Ready}
 			for i := 0; b.Loop(); i++ {
-				line := list[i/2%len(list)]
-				line.State = states[i%2]
-				g.UpdateBackends(0, choice.Delta, []choice.Backend{line})
+				entry := list[i/2%len(list)]
+				entry.State = states[i%2]
+				g.UpdateBackends(0, choice.Delta, []choice.Backend{entry})
 			}
 		})
 		b.Run("complete/"+name, func(b *testing.B) {
-			g := start(b)
+			g := newGateway(b)
 			for b.Loop() {
 				g.UpdateBackends(0, choice.Full, list)
 			}
--- a/choice/rules_test.go
+++ b/choice/rules_test.go
@@ -20,246 +20,246 @@
 	os.Exit(m.Run())
 }
 
-// checker holds the five rules as an outsider sees them: it watches events and
+// ruleChecker holds the five rules as an outsider sees them: it watches events and
 // actions and shares no code with the module.
-type checker struct {
+type ruleChecker struct {
 	cfg      choice.Config
 	now      time.Duration
-	backends map[uint32]seenBackend
-	reqs     map[uint32]*seenRequest
-	ceilings map[uint64]*seenCeiling
-	broken   []string
+	backends map[uint32]observedBackend
+	requests     map[uint32]*observedRequest
+	ceilings map[uint64]*observedCeiling
+	violations   []string
 }
 
-type seenBackend struct {
+type observedBackend struct {
 	choice.Backend
-	barred bool
-	told   time.Duration
-	work   []time.Duration // sends since its last start
+	excluded bool
+	excludedAt   time.Duration
+	sends   []time.Duration // sends since its last start
 }
 
-type seenRequest struct {
+type observedRequest struct {
 	choice.Request
 	gateway int
-	due     time.Duration
-	sent    []seenAttempt
+	deadline     time.Duration
+	attempts    []observedAttempt
 	ended   bool
 }
 
-type seenAttempt struct {
-	to        choice.Backend
-	at        time.Duration
-	out, safe bool
+type observedAttempt struct {
+	backend        choice.Backend
+	sentAt        time.Duration
+	inFlight, neverRan bool
 }
 
-type seenCeiling struct {
-	level float64
-	at    time.Duration
+type observedCeiling struct {
+	tokens float64
+	updatedAt    time.Duration
 }
 
-func newChecker(cfg choice.Config) *checker {
-	return &checker{cfg: cfg, backends: map[uint32]seenBackend{}, reqs: map[uint32]*seenRequest{}, ceilings: map[uint64]*seenCeiling{}}
+func newRuleChecker(cfg choice.Config) *ruleChecker {
+	return &ruleChecker{cfg: cfg, backends: map[uint32]observedBackend{}, requests: map[uint32]*observedRequest{}, ceilings: map[uint64]*observedCeiling{}}
 }
 
-func (k *checker) breach(rule int, format string, args ...any) {
-	k.broken = append(k.broken, fmt.Sprintf("rule %d at %v: ", rule, k.now)+fmt.Sprintf(format, args...))
+func (c *ruleChecker) reportViolation(rule int, format string, args ...any) {
+	c.violations = append(c.violations, fmt.Sprintf("rule %d at %v: ", rule, c.now)+fmt.Sprintf(format, args...))
 }
 
-func (k *checker) request(gateway int, r choice.Request) {
-	k.reqs[r.ID] = &seenRequest{Request: r, gateway: gateway, due: k.now + r.TimeLeft}
+func (c *ruleChecker) request(gateway int, r choice.Request) {
+	c.requests[r.ID] = &observedRequest{Request: r, gateway: gateway, deadline: c.now + r.TimeLeft}
 }
 
-func (k *checker) members(kind choice.ListKind, list []choice.Backend) {
+func (c *ruleChecker) updateBackends(kind choice.ListKind, list []choice.Backend) {
 	if kind != choice.Delta && kind != choice.Failed {
-		for id, b := range k.backends {
-			if !b.barred {
-				b.barred, b.told = true, k.now
+		for id, b := range c.backends {
+			if !b.excluded {
+				b.excluded, b.excludedAt = true, c.now
 			}
-			k.backends[id] = b
+			c.backends[id] = b
 		}
 	}
-	for _, m := range list {
-		b, had := k.backends[m.ID]
-		if had && b.Started != m.Started {
-			b.work = nil
+	for _, entry := range list {
+		b, known := c.backends[entry.ID]
+		if known && b.Started != entry.Started {
+			b.sends = nil
 		}
-		was := b.barred
-		b.Backend, b.barred = m, m.State != choice.Ready
-		if b.barred && (!was || !had) {
-			b.told = k.now
+		wasExcluded := b.excluded
+		b.Backend, b.excluded = entry, entry.State != choice.Ready
+		if b.excluded && (!wasExcluded || !known) {
+			b.excludedAt = c.now
 		}
-		k.backends[m.ID] = b
+		c.backends[entry.ID] = b
 	}
 }
 
-func (k *checker) send(id, backend uint32) {
-	r, b := k.reqs[id], k.backends[backend]
+func (c *ruleChecker) send(id, backend uint32) {
+	r, b := c.requests[id], c.backends[backend]
 	if r == nil || r.ended {
-		k.breach(1, "send for request %d that is over", id)
+		c.reportViolation(1, "send for request %d that is over", id)
 		return
 	}
-	if b.barred && k.now > b.told+k.cfg.DrainGrace {
-		k.breach(3, "send of request %d to backend %d, draining or gone", id, backend)
+	if b.excluded && c.now > b.excludedAt+c.cfg.DrainGrace {
+		c.reportViolation(3, "send of request %d to backend %d, draining or gone", id, backend)
 	}
-	cl := k.cfg.Classes[r.Class]
-	var first *seenAttempt // the first attempt that may have run
-	for i := range r.sent {
-		a := &r.sent[i]
-		if a.out && !k.cfg.Hedging {
-			k.breach(2, "request %d has two attempts out", id)
+	class := c.cfg.Classes[r.Class]
+	var first *observedAttempt // the first attempt that may have run
+	for i := range r.attempts {
+		a := &r.attempts[i]
+		if a.inFlight && !c.cfg.Hedging {
+			c.reportViolation(2, "request %d has two attempts out", id)
 		}
-		if !a.safe && first == nil {
+		if !a.neverRan && first == nil {
 			first = a
 		}
 	}
 	if first != nil {
-		switch cl.Effect {
+		switch class.Effect {
 		case choice.SingleShot:
-			k.breach(2, "request %d may have run and is sent again", id)
+			c.reportViolation(2, "request %d may have run and is sent again", id)
 		case choice.Guarded:
-			inside := cl.Group == choice.GroupAll || cl.Group == choice.GroupZone && first.to.Zone == b.Zone ||
-				cl.Group == choice.GroupCell && first.to.Cell == b.Cell
-			if !inside || k.now-first.at > cl.DedupWindow {
-				k.breach(2, "request %d is sent again outside its group or window", id)
+			inGroup := class.Group == choice.GroupAll || class.Group == choice.GroupZone && first.backend.Zone == b.Zone ||
+				class.Group == choice.GroupCell && first.backend.Cell == b.Cell
+			if !inGroup || c.now-first.sentAt > class.DedupWindow {
+				c.reportViolation(2, "request %d is sent again outside its group or window", id)
 			}
 		}
 	}
-	if len(r.sent) == 0 {
-		k.draw(r)
+	if len(r.attempts) == 0 {
+		c.drawCeiling(r)
 	}
-	if age := k.now - b.Started; b.StartKnown && age < k.cfg.WarmUpPeriod {
-		k.cold(b, age)
-		b.work = append(b.work, k.now)
-		k.backends[backend] = b
+	if age := c.now - b.Started; b.StartKnown && age < c.cfg.WarmUpPeriod {
+		c.checkColdLimit(b, age)
+		b.sends = append(b.sends, c.now)
+		c.backends[backend] = b
 	}
-	r.sent = append(r.sent, seenAttempt{to: b.Backend, at: k.now, out: true})
+	r.attempts = append(r.attempts, observedAttempt{backend: b.Backend, sentAt: c.now, inFlight: true})
 }
 
-// draw takes a first attempt's units from the ceiling's one store.
-func (k *checker) draw(r *seenRequest) {
-	p := k.cfg.Plans[r.Plan]
-	if p.CeilingRate == 0 {
+// drawCeiling takes a first attempt's units from the ceiling's one store.
+func (c *ruleChecker) drawCeiling(r *observedRequest) {
+	plan := c.cfg.Plans[r.Plan]
+	if plan.CeilingRate == 0 {
 		return
 	}
-	c := k.ceilings[r.Customer]
-	if c == nil {
-		c = &seenCeiling{level: p.CeilingBurst, at: k.now}
-		k.ceilings[r.Customer] = c
+	ceiling := c.ceilings[r.Customer]
+	if ceiling == nil {
+		ceiling = &observedCeiling{tokens: plan.CeilingBurst, updatedAt: c.now}
+		c.ceilings[r.Customer] = ceiling
 	}
-	c.level = min(p.CeilingBurst, c.level+(k.now-c.at).Seconds()*p.CeilingRate) - r.Units
-	c.at = k.now
-	if c.level < -p.CeilingTolerance-1e-6 {
-		k.breach(5, "customer %d stands at %.2f of its ceiling", r.Customer, c.level)
+	ceiling.tokens = min(plan.CeilingBurst, ceiling.tokens+(c.now-ceiling.updatedAt).Seconds()*plan.CeilingRate) - r.Units
+	ceiling.updatedAt = c.now
+	if ceiling.tokens < -plan.CeilingTolerance-1e-6 {
+		c.reportViolation(5, "customer %d stands at %.2f of its ceiling", r.Customer, ceiling.tokens)
 	}
 }
 
-// coldCapacity is what a warm backend of these tests can do, requests a second.
-const coldCapacity = 40
+// warmCapacity is what a warm backend of these tests can do, requests a second.
+const warmCapacity = 40
 
-func (k *checker) cold(b seenBackend, age time.Duration) {
-	n := 1
-	for _, at := range b.work {
-		if at > k.now-k.cfg.ColdOverloadPeriod {
-			n++
+func (c *ruleChecker) checkColdLimit(b observedBackend, age time.Duration) {
+	sends := 1
+	for _, sentAt := range b.sends {
+		if sentAt > c.now-c.cfg.ColdOverloadPeriod {
+			sends++
 		}
 	}
-	share := k.cfg.InitialCapacity + (1-k.cfg.InitialCapacity)*age.Seconds()/k.cfg.WarmUpPeriod.Seconds()
-	if most := k.cfg.ColdOverloadFactor*share*coldCapacity*k.cfg.ColdOverloadPeriod.Seconds() + 8; float64(n) > most {
-		k.breach(4, "cold backend %d was sent %d in %v, more than %.0f", b.ID, n, k.cfg.ColdOverloadPeriod, most)
+	capacityFraction := c.cfg.InitialCapacity + (1-c.cfg.InitialCapacity)*age.Seconds()/c.cfg.WarmUpPeriod.Seconds()
+	if limit := c.cfg.ColdOverloadFactor*capacityFraction*warmCapacity*c.cfg.ColdOverloadPeriod.Seconds() + 8; float64(sends) > limit {
+		c.reportViolation(4, "cold backend %d was sent %d in %v, more than %.0f", b.ID, sends, c.cfg.ColdOverloadPeriod, limit)
 	}
 }
 
-func (k *checker) outcome(id uint32, attempt int, st choice.Status, over bool) {
-	r := k.reqs[id]
-	a := &r.sent[attempt]
-	a.out = false
-	a.safe = st == choice.Refused || st == choice.ConnectFailed || st == choice.CancelledBeforeSend
-	r.ended = r.ended || over
+func (c *ruleChecker) outcome(id uint32, attempt int, status choice.Status, answered bool) {
+	r := c.requests[id]
+	a := &r.attempts[attempt]
+	a.inFlight = false
+	a.neverRan = status == choice.Refused || status == choice.ConnectFailed || status == choice.CancelledBeforeSend
+	r.ended = r.ended || answered
 }
 
-func (k *checker) refuse(id uint32) {
-	r := k.reqs[id]
+func (c *ruleChecker) refuse(id uint32) {
+	r := c.requests[id]
 	if r == nil {
 		return
 	}
-	for _, a := range r.sent {
-		cl := k.cfg.Classes[r.Class]
-		if !a.safe && (cl.Effect == choice.SingleShot || cl.Effect == choice.Guarded && cl.Group != choice.GroupAll) {
-			k.breach(2, "request %d may have run and is refused", id)
+	for _, a := range r.attempts {
+		class := c.cfg.Classes[r.Class]
+		if !a.neverRan && (class.Effect == choice.SingleShot || class.Effect == choice.Guarded && class.Group != choice.GroupAll) {
+			c.reportViolation(2, "request %d may have run and is refused", id)
 		}
 	}
 	r.ended = true
 }
 
-// time ends what is overdue.
-func (k *checker) time(now time.Duration, slack time.Duration) {
-	k.now = now
-	for id, r := range k.reqs {
-		if !r.ended && now > r.due+slack {
-			k.breach(1, "request %d has no answer", id)
+// advance ends what is overdue.
+func (c *ruleChecker) advance(now time.Duration, slack time.Duration) {
+	c.now = now
+	for id, r := range c.requests {
+		if !r.ended && now > r.deadline+slack {
+			c.reportViolation(1, "request %d has no answer", id)
 			r.ended = true
 		}
 	}
 }
 
 // Each rule is broken by hand; the checker must say so.
-func TestCheckerCatchesEachRule(t *testing.T) {
-	cfg := settings(0)
+func TestRuleCheckerDetectsEachViolation(t *testing.T) {
+	cfg := ruleConfig(0)
 	ready := choice.Backend{ID: 1, Zone: 0, Cell: 0}
 	other := choice.Backend{ID: 2, Zone: 1, Cell: 1}
 	cases := []struct {
 		name string
 		rule string
-		act  func(k *checker)
+		events  func(tc *ruleChecker)
 	}{
-		{"lost", "rule 1", func(k *checker) { k.time(10*time.Second, 8*time.Millisecond) }},
-		{"sent after the end", "rule 1", func(k *checker) { k.refuse(1); k.send(1, 1) }},
-		{"single shot again", "rule 2", func(k *checker) { k.send(2, 1); k.outcome(2, 0, choice.Error, false); k.send(2, 2) }},
-		{"single shot refused", "rule 2", func(k *checker) { k.send(2, 1); k.outcome(2, 0, choice.Timeout, false); k.refuse(2) }},
-		{"two out", "rule 2", func(k *checker) { k.cfg.Hedging = false; k.send(1, 1); k.send(1, 2) }},
-		{"outside the group", "rule 2", func(k *checker) { k.send(3, 1); k.outcome(3, 0, choice.Reset, false); k.send(3, 2) }},
-		{"draining", "rule 3", func(k *checker) {
-			k.members(choice.Delta, []choice.Backend{{ID: 1, State: choice.Draining}})
-			k.now += time.Second
-			k.send(1, 1)
+		{"lost", "rule 1", func(c *ruleChecker) { c.advance(10*time.Second, 8*time.Millisecond) }},
+		{"sent after the end", "rule 1", func(c *ruleChecker) { c.refuse(1); c.send(1, 1) }},
+		{"single shot again", "rule 2", func(c *ruleChecker) { c.send(2, 1); c.outcome(2, 0, choice.Error, false); c.send(2, 2) }},
+		{"single shot refused", "rule 2", func(c *ruleChecker) { c.send(2, 1); c.outcome(2, 0, choice.Timeout, false); c.refuse(2) }},
+		{"two out", "rule 2", func(c *ruleChecker) { c.cfg.Hedging = false; c.send(1, 1); c.send(1, 2) }},
+		{"outside the group", "rule 2", func(c *ruleChecker) { c.send(3, 1); c.outcome(3, 0, choice.Reset, false); c.send(3, 2) }},
+		{"draining", "rule 3", func(c *ruleChecker) {
+			c.updateBackends(choice.Delta, []choice.Backend{{ID: 1, State: choice.Draining}})
+			c.now += time.Second
+			c.send(1, 1)
 		}},
-		{"left out of a full list", "rule 3", func(k *checker) {
-			k.members(choice.Full, []choice.Backend{other})
-			k.now += time.Second
-			k.send(1, 1)
+		{"left out of a full list", "rule 3", func(c *ruleChecker) {
+			c.updateBackends(choice.Full, []choice.Backend{other})
+			c.now += time.Second
+			c.send(1, 1)
 		}},
-		{"cold", "rule 4", func(k *checker) {
-			k.members(choice.Delta, []choice.Backend{{ID: 1, StartKnown: true, Started: k.now}})
+		{"cold", "rule 4", func(c *ruleChecker) {
+			c.updateBackends(choice.Delta, []choice.Backend{{ID: 1, StartKnown: true, Started: c.now}})
 			for i := range uint32(200) {
-				k.request(0, choice.Request{ID: 100 + i, TimeLeft: time.Second})
-				k.send(100+i, 1)
+				c.request(0, choice.Request{ID: 100 + i, TimeLeft: time.Second})
+				c.send(100+i, 1)
 			}
 		}},
-		{"ceiling", "rule 5", func(k *checker) {
+		{"ceiling", "rule 5", func(c *ruleChecker) {
 			for i := range uint32(40) {
-				k.request(0, choice.Request{ID: 100 + i, Plan: 1, Customer: 7, Units: 1, TimeLeft: time.Second})
-				k.send(100+i, 1)
+				c.request(0, choice.Request{ID: 100 + i, Plan: 1, Customer: 7, Units: 1, TimeLeft: time.Second})
+				c.send(100+i, 1)
 			}
 		}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			k := newChecker(cfg)
+			k := newRuleChecker(cfg)
 			k.now = time.Second
-			k.members(choice.Cached, []choice.Backend{ready, other})
+			k.updateBackends(choice.Cached, []choice.Backend{ready, other})
 			for id := range uint32(3) {
 				k.request(0, choice.Request{ID: id + 1, Class: int(id), TimeLeft: time.Second, Units: 1})
 			}
-			c.act(k)
-			if len(k.broken) == 0 || k.broken[0][:6] != c.rule {
-				t.Fatalf("checker said %q, want a breach of %s", k.broken, c.rule)
+			c.events(k)
+			if len(k.violations) == 0 || k.violations[0][:6] != c.rule {
+				t.Fatalf("checker said %q, want a breach of %s", k.violations, c.rule)
 			}
 		})
 	}
 }
 
-// settings gives one of several deployments of the tests' own.
-func settings(kind int) choice.Config {
+// ruleConfig gives one of several deployments of the tests' own.
+func ruleConfig(kind int) choice.Config {
 	cfg := choice.Config{
 		Gateways: 3, Tick: 2 * time.Millisecond, MeterPeriod: 500 * time.Millisecond, MaxUnits: 2,
 		Classes: []choice.Class{
@@ -287,173 +287,173 @@
 	return cfg
 }
 
-// world drives gateways with random but legal events and keeps the checker informed.
-type world struct {
+// eventDriver drives gateways with random but legal events and keeps the checker informed.
+type eventDriver struct {
 	t      *rapid.T
-	k      *checker
+	checker      *ruleChecker
 	cfg    choice.Config
-	gates  []*choice.Gateway
-	out    []pending
+	gateways  []*choice.Gateway
+	inFlight    []pendingAttempt
 	nextID uint32
-	list   []choice.Backend
+	backends   []choice.Backend
 }
 
-type pending struct {
-	gate    int
+type pendingAttempt struct {
+	gateway    int
 	id      uint32
 	attempt int
 	backend uint32
-	sent    time.Duration
-	due     time.Duration
+	sentAt    time.Duration
+	deadline     time.Duration
 }
 
-type port struct {
-	w    *world
-	gate int
+type driverActions struct {
+	driver    *eventDriver
+	gateway int
 }
 
-func (p port) Send(id, backend uint32, timeout time.Duration) {
-	w := p.w
-	w.k.send(id, backend)
-	r := w.k.reqs[id]
-	due := r.due
+func (p driverActions) Send(id, backend uint32, timeout time.Duration) {
+	d := p.driver
+	d.checker.send(id, backend)
+	r := d.checker.requests[id]
+	deadline := r.deadline
 	if timeout > 0 {
-		due = min(due, w.k.now+timeout)
+		deadline = min(deadline, d.checker.now+timeout)
 	}
-	w.out = append(w.out, pending{p.gate, id, len(r.sent) - 1, backend, w.k.now, due})
+	d.inFlight = append(d.inFlight, pendingAttempt{p.gateway, id, len(r.attempts) - 1, backend, d.checker.now, deadline})
 }
-func (p port) Refuse(id uint32, _ time.Duration, _ choice.Reason) { p.w.k.refuse(id) }
-func (p port) Fail(id uint32, _ choice.Reason) {
-	if r := p.w.k.reqs[id]; r != nil {
+func (p driverActions) Refuse(id uint32, _ time.Duration, _ choice.Reason) { p.driver.checker.refuse(id) }
+func (p driverActions) Fail(id uint32, _ choice.Reason) {
+	if r := p.driver.checker.requests[id]; r != nil {
 		r.ended = true
 	}
 }
-func (p port) Cancel(uint32, int)             {}
-func (p port) Probe(uint32)                   {}
-func (p port) SetTimer(time.Duration, uint64) {}
+func (p driverActions) Cancel(uint32, int)             {}
+func (p driverActions) Probe(uint32)                   {}
+func (p driverActions) SetTimer(time.Duration, uint64) {}
 
-func (w *world) start(g int) {
-	cfg := w.cfg
-	cfg.Self = g
-	gate, err := choice.New(cfg, uint64(g)+99, w.k.now, port{w, g})
+func (d *eventDriver) start(index int) {
+	cfg := d.cfg
+	cfg.Self = index
+	gateway, err := choice.New(cfg, uint64(index)+99, d.checker.now, driverActions{d, index})
 	if err != nil {
-		w.t.Fatal(err)
+		d.t.Fatal(err)
 	}
-	w.gates[g] = gate
-	gate.UpdateBackends(w.k.now, choice.Cached, w.list)
+	d.gateways[index] = gateway
+	gateway.UpdateBackends(d.checker.now, choice.Cached, d.backends)
 }
 
-// end gives one pending attempt its outcome.
-func (w *world) end(i int, st choice.Status) {
-	p := w.out[i]
-	w.out = append(w.out[:i], w.out[i+1:]...)
-	r := w.k.reqs[p.id]
-	over := r.ended || st == choice.OK
-	w.k.outcome(p.id, p.attempt, st, over)
-	w.gates[p.gate].Outcome(w.k.now, choice.Outcome{
-		ID: p.id, Attempt: p.attempt, Backend: p.backend, Status: st, Elapsed: w.k.now - p.sent, Answered: over,
-		Metered: st == choice.OK, Used: float64(rapid.IntRange(0, 300).Draw(w.t, "used")) / 100,
+// endAttempt gives one pending attempt its outcome.
+func (d *eventDriver) endAttempt(i int, status choice.Status) {
+	p := d.inFlight[i]
+	d.inFlight = append(d.inFlight[:i], d.inFlight[i+1:]...)
+	r := d.checker.requests[p.id]
+	answered := r.ended || status == choice.OK
+	d.checker.outcome(p.id, p.attempt, status, answered)
+	d.gateways[p.gateway].Outcome(d.checker.now, choice.Outcome{
+		ID: p.id, Attempt: p.attempt, Backend: p.backend, Status: status, Elapsed: d.checker.now - p.sentAt, Answered: answered,
+		Metered: status == choice.OK, Used: float64(rapid.IntRange(0, 300).Draw(d.t, "used")) / 100,
 	})
 }
 
-func (w *world) step() {
-	t := w.t
-	wait := rapid.IntRange(0, 60).Draw(t, "wait")
+func (d *eventDriver) step() {
+	t := d.t
+	waitMS := rapid.IntRange(0, 60).Draw(t, "wait")
 	if rapid.IntRange(0, 39).Draw(t, "stall") == 0 {
-		wait = rapid.IntRange(300, 1400).Draw(t, "standstill") // all that is due is found at once after it
+		waitMS = rapid.IntRange(300, 1400).Draw(t, "standstill") // all that is due is found at once after it
 	}
-	w.k.now += time.Duration(wait) * time.Millisecond
-	for i := len(w.out) - 1; i >= 0; i-- {
-		if i < len(w.out) && w.out[i].due <= w.k.now {
-			w.end(i, choice.Timeout)
+	d.checker.now += time.Duration(waitMS) * time.Millisecond
+	for i := len(d.inFlight) - 1; i >= 0; i-- {
+		if i < len(d.inFlight) && d.inFlight[i].deadline <= d.checker.now {
+			d.endAttempt(i, choice.Timeout)
 		}
 	}
-	w.k.time(w.k.now, 80*time.Millisecond)
-	g := rapid.IntRange(0, len(w.gates)-1).Draw(t, "gate")
+	d.checker.advance(d.checker.now, 80*time.Millisecond)
+	index := rapid.IntRange(0, len(d.gateways)-1).Draw(t, "gate")
 	switch rapid.IntRange(0, 9).Draw(t, "event") {
 	case 0, 1, 2, 3:
 		for range rapid.IntRange(1, 6).Draw(t, "burst") {
-			w.nextID++
+			d.nextID++
 			r := choice.Request{
-				ID: w.nextID, Class: rapid.IntRange(0, 2).Draw(t, "class"), Plan: rapid.IntRange(0, 3).Draw(t, "plan"),
+				ID: d.nextID, Class: rapid.IntRange(0, 2).Draw(t, "class"), Plan: rapid.IntRange(0, 3).Draw(t, "plan"),
 				TimeLeft: time.Duration(rapid.IntRange(100, 1500).Draw(t, "left")) * time.Millisecond,
-				Units:    float64(rapid.IntRange(1, 2).Draw(t, "units")), SetSize: len(w.gates),
+				Units:    float64(rapid.IntRange(1, 2).Draw(t, "units")), SetSize: len(d.gateways),
 			}
 			if r.Plan == 1 && r.SetSize > 10 { // under a ceiling a spread leaves two requests for each of its gateways
-				if r.SetSize = 10; g >= r.SetSize {
-					r.Plan, r.SetSize = 0, len(w.gates)
+				if r.SetSize = 10; index >= r.SetSize {
+					r.Plan, r.SetSize = 0, len(d.gateways)
 				}
 			}
 			r.Customer = uint64(r.Plan*10 + rapid.IntRange(0, 1).Draw(t, "customer"))
-			w.k.request(g, r)
-			w.gates[g].Request(w.k.now, r)
+			d.checker.request(index, r)
+			d.gateways[index].Request(d.checker.now, r)
 		}
 	case 4, 5, 6:
-		if len(w.out) > 0 {
-			st := choice.Status(rapid.SampledFrom([]int{0, 0, 0, 0, 1, 2, 4, 5}).Draw(t, "status"))
-			w.end(rapid.IntRange(0, len(w.out)-1).Draw(t, "which"), st)
+		if len(d.inFlight) > 0 {
+			status := choice.Status(rapid.SampledFrom([]int{0, 0, 0, 0, 1, 2, 4, 5}).Draw(t, "status"))
+			d.endAttempt(rapid.IntRange(0, len(d.inFlight)-1).Draw(t, "which"), status)
 		}
 	case 7:
-		b := &w.list[rapid.IntRange(0, len(w.list)-1).Draw(t, "backend")]
+		b := &d.backends[rapid.IntRange(0, len(d.backends)-1).Draw(t, "backend")]
 		b.State = choice.State(rapid.SampledFrom([]int{0, 0, 1, 2}).Draw(t, "state"))
 		if b.State == choice.Ready && rapid.Bool().Draw(t, "restarts") {
-			b.Started, b.StartKnown = w.k.now, true
+			b.Started, b.StartKnown = d.checker.now, true
 		}
-		w.k.members(choice.Delta, []choice.Backend{*b})
-		for _, gate := range w.gates {
-			gate.UpdateBackends(w.k.now, choice.Delta, []choice.Backend{*b})
+		d.checker.updateBackends(choice.Delta, []choice.Backend{*b})
+		for _, gateway := range d.gateways {
+			gateway.UpdateBackends(d.checker.now, choice.Delta, []choice.Backend{*b})
 		}
 	case 8:
 		if rapid.IntRange(0, 5).Draw(t, "crash") == 0 {
 			// The gateway dies: what it held is the clients' to try again.
-			kept := w.out[:0]
-			for _, p := range w.out {
-				if p.gate != g {
-					kept = append(kept, p)
+			remaining := d.inFlight[:0]
+			for _, p := range d.inFlight {
+				if p.gateway != index {
+					remaining = append(remaining, p)
 				}
 			}
-			w.out = kept
-			for _, r := range w.k.reqs {
-				if r.gateway == g {
+			d.inFlight = remaining
+			for _, r := range d.checker.requests {
+				if r.gateway == index {
 					r.ended = true
 				}
 			}
-			w.start(g)
+			d.start(index)
 		}
 	case 9:
-		if len(w.out) > 0 {
-			p := w.out[rapid.IntRange(0, len(w.out)-1).Draw(t, "gone")]
-			w.k.reqs[p.id].ended = true
-			w.gates[p.gate].ClientDisconnected(w.k.now, p.id)
+		if len(d.inFlight) > 0 {
+			p := d.inFlight[rapid.IntRange(0, len(d.inFlight)-1).Draw(t, "gone")]
+			d.checker.requests[p.id].ended = true
+			d.gateways[p.gateway].ClientDisconnected(d.checker.now, p.id)
 		} else {
-			w.gates[g].TimerExpired(w.k.now, uint64(w.nextID)<<8|1)
+			d.gateways[index].TimerExpired(d.checker.now, uint64(d.nextID)<<8|1)
 		}
 	}
-	for _, p := range append([]pending(nil), w.out...) {
-		if w.k.now-p.sent > 100*time.Millisecond {
-			w.gates[p.gate].TimerExpired(w.k.now, uint64(p.id)<<8|uint64(len(w.k.reqs[p.id].sent)))
+	for _, p := range append([]pendingAttempt(nil), d.inFlight...) {
+		if d.checker.now-p.sentAt > 100*time.Millisecond {
+			d.gateways[p.gateway].TimerExpired(d.checker.now, uint64(p.id)<<8|uint64(len(d.checker.requests[p.id].attempts)))
 		}
 	}
 }
 
-func TestRandomEventsKeepTheFiveRules(t *testing.T) {
+func TestRandomEventsKeepRules(t *testing.T) {
 	for kind := range 5 {
 		t.Run(fmt.Sprint("settings ", kind), func(t *testing.T) {
 			rapid.Check(t, func(t *rapid.T) {
-				cfg := settings(kind)
-				w := &world{t: t, k: newChecker(cfg), cfg: cfg, gates: make([]*choice.Gateway, cfg.Gateways)}
-				w.k.now = 20 * time.Second
+				cfg := ruleConfig(kind)
+				d := &eventDriver{t: t, checker: newRuleChecker(cfg), cfg: cfg, gateways: make([]*choice.Gateway, cfg.Gateways)}
+				d.checker.now = 20 * time.Second
 				for i := range uint32(6) {
-					w.list = append(w.list, choice.Backend{ID: 10 + i, Zone: int(i % 3), Cell: int(i % 2), Weight: 2})
+					d.backends = append(d.backends, choice.Backend{ID: 10 + i, Zone: int(i % 3), Cell: int(i % 2), Weight: 2})
 				}
-				w.k.members(choice.Cached, w.list)
-				for g := range w.gates {
-					w.start(g)
+				d.checker.updateBackends(choice.Cached, d.backends)
+				for index := range d.gateways {
+					d.start(index)
 				}
 				for range rapid.IntRange(20, 200).Draw(t, "steps") {
-					w.step()
-					if len(w.k.broken) > 0 {
-						t.Fatal(w.k.broken)
+					d.step()
+					if len(d.checker.violations) > 0 {
+						t.Fatal(d.checker.violations)
 					}
 				}
 			})
@@ -462,16 +462,16 @@
 }
 
 // Four hundred gateways with nothing out at a backend that has just started: all together must keep to its budget.
-func TestManyGatewaysKeepAColdBackendUp(t *testing.T) {
-	cfg := plain()
+func TestManyGatewaysDoNotOverloadColdBackend(t *testing.T) {
+	cfg := baseConfig()
 	cfg.Gateways = 400
-	list := backends(20)
+	list := newBackends(20)
 	list[7].StartKnown, list[7].Started = true, 0
-	k := newChecker(cfg)
-	k.members(choice.Cached, list)
+	checker := newRuleChecker(cfg)
+	checker.updateBackends(choice.Cached, list)
 	for self := range cfg.Gateways {
 		cfg.Self = self
-		rec := record()
+		rec := newRecorder()
 		g, err := choice.New(cfg, 7, 0, rec)
 		if err != nil {
 			t.Fatal(err)
@@ -480,13 +480,13 @@
 		for i := range uint32(8) { // twice what the fleet can do in the time of the budget
 			id := uint32(self)*8 + i + 1
 			r := choice.Request{ID: id, Customer: uint64(id), SetSize: 1, Units: 1, TimeLeft: time.Second}
-			k.request(self, r)
-			if ask(g, rec, 0, r, -1) {
-				k.send(id, rec.sent[id][0])
+			checker.request(self, r)
+			if submitRequest(g, rec, 0, r, -1) {
+				checker.send(id, rec.sent[id][0])
 			}
 		}
 	}
-	if len(k.broken) > 0 {
-		t.Errorf("%d breaches, first %s", len(k.broken), k.broken[0])
+	if len(checker.violations) > 0 {
+		t.Errorf("%d breaches, first %s", len(checker.violations), checker.violations[0])
 	}
 }
