--- a/choice/ceiling_test.go
+++ b/choice/ceiling_test.go
@@ -13,39 +13,39 @@
 // chance, uneven over the gateways, answers that carry a late meter, and
 // gateways that are killed and start again. It keeps the one true store.
 type ceilingSimulation struct {
-	cfg   choice.Config
-	rng   *rand.Rand
-	now   time.Duration
+	cfg      choice.Config
+	rng      *rand.Rand
+	now      time.Duration
 	gateways []*ceilingGateway
 
-	offeredRate func(now time.Duration) float64       // units a second
-	meterLag    func(now time.Duration) time.Duration // from a period's end to its first showing
-	shuffleInterval   time.Duration                         // the busiest gateways change so often; 0: never
-	busiestShare float64                               // share of the busiest gateway; 0: by a power law
+	offeredRate     func(now time.Duration) float64       // units a second
+	meterLag        func(now time.Duration) time.Duration // from a period's end to its first showing
+	shuffleInterval time.Duration                         // the busiest gateways change so often; 0: never
+	busiestShare    float64                               // share of the busiest gateway; 0: by a power law
 
 	trafficShares []float64
 	periodUse     []float64 // units first sent, by period
-	answers     []ceilingAnswer
-	nextID  uint32
+	answers       []ceilingAnswer
+	nextID        uint32
 
-	tokens, minTokens  float64 // the true store, and the lowest it stood
-	tokensAt            time.Duration
+	tokens, minTokens         float64 // the true store, and the lowest it stood
+	tokensAt                  time.Duration
 	requestedUnits, sentUnits float64
 }
 
 type ceilingGateway struct {
-	sim    *ceilingSimulation
-	gateway    *choice.Gateway // nil while it is down
-	restartAt time.Duration   // when it starts again
+	sim         *ceilingSimulation
+	gateway     *choice.Gateway // nil while it is down
+	restartAt   time.Duration   // when it starts again
 	incarnation int
-	index int
+	index       int
 }
 
 type ceilingAnswer struct {
-	at   time.Duration
-	gateway *ceilingGateway
+	at          time.Duration
+	gateway     *ceilingGateway
 	incarnation int
-	outcome  choice.Outcome
+	outcome     choice.Outcome
 }
 
 func (g *ceilingGateway) Send(id, backend uint32, _ time.Duration) {
@@ -116,11 +116,11 @@
 }
 
 // run runs the fleet, and every gateway's kill at its time.
-func (s *ceilingSimulation) run(t *testing.T, length time.Duration, crashes map[time.Duration]int) {
+func (s *ceilingSimulation) run(t *testing.T, duration time.Duration, crashes map[time.Duration]int) {
 	t.Helper()
 	const tick = 10 * ms
 	n := s.cfg.Gateways
-	s.periodUse = make([]float64, length/s.cfg.MeterPeriod+2)
+	s.periodUse = make([]float64, duration/s.cfg.MeterPeriod+2)
 	s.tokens = s.cfg.Plans[0].CeilingBurst
 	s.minTokens = s.tokens
 	for i := range n {
@@ -131,7 +131,7 @@
 	s.shuffleTraffic()
 	meanUnits := (s.cfg.MaxUnits + 1) / 2
 	requestsDue := 0.0
-	for s.now = 0; s.now < length; s.now += tick {
+	for s.now = 0; s.now < duration; s.now += tick {
 		if s.shuffleInterval > 0 && s.now > 0 && s.now%s.shuffleInterval == 0 {
 			s.shuffleTraffic()
 		}
@@ -200,20 +200,20 @@
 	}
 	crashes := map[time.Duration]int{20600 * ms: 9, 24 * time.Second: 9, 32500 * ms: 9}
 	for _, c := range []struct {
-		name    string
-		offeredRate func(time.Duration) float64
-		meterLag    func(time.Duration) time.Duration
-		shuffleInterval   time.Duration
-		kills   map[time.Duration]int
-		busiestShare float64
+		name            string
+		offeredRate     func(time.Duration) float64
+		meterLag        func(time.Duration) time.Duration
+		shuffleInterval time.Duration
+		crashes         map[time.Duration]int
+		busiestShare    float64
 	}{
 		{name: "always beyond", offeredRate: steady},
 		{name: "always beyond, traffic shifts", offeredRate: steady, shuffleInterval: 10 * time.Second},
-		{name: "always beyond, killed", offeredRate: steady, kills: crashes},
+		{name: "always beyond, killed", offeredRate: steady, crashes: crashes},
 		{name: "spikes, traffic shifts", offeredRate: spikes, shuffleInterval: 10 * time.Second},
 		{name: "spikes, the meter later than usual", offeredRate: spikes, meterLag: delayedMeter, shuffleInterval: 10 * time.Second},
-		{name: "spikes, the meter later, killed", offeredRate: spikes, meterLag: delayedMeter, shuffleInterval: 10 * time.Second, kills: crashes},
-		{name: "spikes, most at one gateway", offeredRate: spikes, meterLag: delayedMeter, shuffleInterval: 7 * time.Second, kills: crashes, busiestShare: 0.6},
+		{name: "spikes, the meter later, killed", offeredRate: spikes, meterLag: delayedMeter, shuffleInterval: 10 * time.Second, crashes: crashes},
+		{name: "spikes, most at one gateway", offeredRate: spikes, meterLag: delayedMeter, shuffleInterval: 7 * time.Second, crashes: crashes, busiestShare: 0.6},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			for seed := range uint64(12) {
@@ -222,7 +222,7 @@
 					s.meterLag = c.meterLag
 				}
 				s.shuffleInterval, s.busiestShare = c.shuffleInterval, c.busiestShare
-				s.run(t, 50*time.Second, c.kills)
+				s.run(t, 50*time.Second, c.crashes)
 				if limit := -s.cfg.Plans[0].CeilingTolerance; s.minTokens < limit {
 					t.Errorf("seed %d: the store stood at %.1f, want %.0f at least", seed, s.minTokens, limit)
 				}
@@ -331,7 +331,7 @@
 	for id := range uint32(4) {
 		g.Outcome(now, choice.Outcome{ID: id + 1, Backend: rec.sent[id+1][0], Status: choice.ConnectFailed})
 		if len(rec.sent[id+1]) != 2 {
-			t.Fatalf("request %d was not tried again: %v", id+1, rec.log)
+			t.Fatalf("request %d was not tried again: %v", id+1, rec.actions)
 		}
 	}
 	if submit(now) {
--- a/choice/choice_test.go
+++ b/choice/choice_test.go
@@ -17,7 +17,7 @@
 
 // recorder keeps every action as text and the sends and refusals by request.
 type recorder struct {
-	log     []string
+	actions []string
 	sent    map[uint32][]uint32 // backends by request
 	refused map[uint32]bool
 	failed  map[uint32]bool
@@ -29,7 +29,7 @@
 }
 
 func (r *recorder) logf(format string, args ...any) {
-	r.log = append(r.log, fmt.Sprintf(format, args...))
+	r.actions = append(r.actions, fmt.Sprintf(format, args...))
 }
 func (r *recorder) Send(id, backend uint32, timeout time.Duration) {
 	r.logf("send %d to %d within %v", id, backend, timeout)
@@ -134,7 +134,7 @@
 
 // simulateCustomer plays one customer through some gateways and a late meter by plain
 // arithmetic: no fleet, each passed request is answered at once.
-func simulateCustomer(t *testing.T, gatewayCount int, trafficShares []float64, offeredRate float64, lagPeriods int, length time.Duration) (rate, refusedShare float64) {
+func simulateCustomer(t *testing.T, gatewayCount int, trafficShares []float64, offeredRate float64, lagPeriods int, duration time.Duration) (rate, refusedShare float64) {
 	cfg := baseConfig()
 	cfg.Gateways = gatewayCount
 	var gateways []*choice.Gateway
@@ -144,9 +144,9 @@
 		gateways, recorders = append(gateways, g), append(recorders, rec)
 	}
 	plan := cfg.Plans[0]
-	usedByPeriod := make([]float64, 1+length/cfg.MeterPeriod)
+	usedByPeriod := make([]float64, 1+duration/cfg.MeterPeriod)
 	requested, admitted, id, requestsDue, position := 0.0, 0.0, uint32(0), 0.0, 0.0
-	for now := 2 * ms; now < length; now += 2 * ms {
+	for now := 2 * ms; now < duration; now += 2 * ms {
 		requestsDue += offeredRate * 0.002
 		for ; requestsDue >= 1; requestsDue-- {
 			position = math.Mod(position+0.618034, 1) // an even sequence, spread by the weights
@@ -160,7 +160,7 @@
 				reading = usedByPeriod[period] / (plan.Rate * cfg.MeterPeriod.Seconds())
 			}
 			id++
-			measured := now > length/2
+			measured := now > duration/2
 			if measured {
 				requested++
 			}
@@ -172,17 +172,17 @@
 			}
 		}
 	}
-	return admitted / (length / 2).Seconds(), 1 - admitted/requested
+	return admitted / (duration / 2).Seconds(), 1 - admitted/requested
 }
 
 // In the long run what all gateways pass stays near the quota, and what is
 // refused near b = 1 - quota / offered, however the traffic is split.
 func TestAdmittedRateStaysNearQuota(t *testing.T) {
 	for _, c := range []struct {
-		gateways   int
+		gateways      int
 		trafficShares []float64
-		offeredRate float64
-		lagPeriods     int
+		offeredRate   float64
+		lagPeriods    int
 	}{
 		{1, []float64{1}, 30, 1},
 		{3, []float64{0.34, 0.33, 0.33}, 30, 1},
@@ -415,8 +415,8 @@
 	cfg := baseConfig()
 	cfg.Classes = append(cfg.Classes, choice.Class{Aim: 400 * ms, Deadline: time.Second, Worth: 1, Effect: choice.SingleShot})
 	for _, c := range []struct {
-		class         int
-		status        choice.Status
+		class           int
+		status          choice.Status
 		retried, failed bool
 	}{
 		{0, choice.Error, true, false}, {0, choice.Refused, true, false},
@@ -447,7 +447,7 @@
 				g.TimerExpired(now, 0)
 			}
 		}
-		return rec.log
+		return rec.actions
 	}
 	if a, b := run(), run(); !reflect.DeepEqual(a, b) {
 		t.Error("two runs of the same events differ")
@@ -534,9 +534,9 @@
 // than the fleet works well with.
 func TestInitialConcurrencyLimitIsShared(t *testing.T) {
 	for _, tier := range []struct {
-		gateways    int
-		backends    uint32
-		overuseCost    float64
+		gateways         int
+		backends         uint32
+		overuseCost      float64
 		minSent, maxSent int
 	}{
 		{4, 12, 1, 15, 19}, // even parts of five a backend, and chance arrivals' slack
@@ -804,7 +804,7 @@
 					g.Outcome(now, o)
 				}
 			}
-			logs[i] = rec.log
+			logs[i] = rec.actions
 			g.Request(6*time.Second, choice.Request{ID: 1000, SetSize: 1, Units: invalid, TimeLeft: time.Second})
 			if !rec.refused[1000] {
 				t.Errorf("a request of %v units was not refused at once", invalid)
@@ -878,7 +878,7 @@
 func TestEmptyTokenBucketLimitsByOveruseCost(t *testing.T) {
 	const customers = 400
 	for _, c := range []struct {
-		cost        float64
+		cost                     float64
 		minAdmitted, maxAdmitted int
 	}{{0, customers / 6, customers / 2}, {0.5, customers / 12, customers / 4}, {1, 0, 0}} {
 		cfg := baseConfig()
@@ -959,8 +959,8 @@
 // the settings let it, and has to begin within the window even then.
 func TestRetryStartsWithinDedupWindow(t *testing.T) {
 	for _, c := range []struct {
-		endedAt  time.Duration
-		retry bool
+		endedAt time.Duration
+		retry   bool
 	}{{700 * ms, true}, {749 * ms, true}, {750 * ms, false}, {990 * ms, false}} {
 		cfg := baseConfig()
 		cfg.ConnectTimeout = 250 * ms
--- a/choice/cold_test.go
+++ b/choice/cold_test.go
@@ -12,20 +12,20 @@
 
 // coldSimulation is the actions of one of many gateways that send to the same backends.
 type coldSimulation struct {
-	now  time.Duration
-	sent map[uint32][]time.Duration // by backend
-	answers  []coldAnswer
+	now     time.Duration
+	sent    map[uint32][]time.Duration // by backend
+	answers []coldAnswer
 }
 
 type coldGateway struct {
-	sim *coldSimulation
+	sim     *coldSimulation
 	gateway *choice.Gateway
 }
 
 type coldAnswer struct {
 	at, sentAt time.Duration
-	gateway     *coldGateway
-	outcome      choice.Outcome
+	gateway    *coldGateway
+	outcome    choice.Outcome
 }
 
 // latency of a warm backend: the fleet gets slow just before some start anew.
@@ -54,11 +54,11 @@
 func TestColdBackendsAreNotOverloaded(t *testing.T) {
 	const (
 		backendCount = 100
-		restarted  = 10
-		backendRate   = 25.0 // requests a second for each backend
-		warmCapacity    = 30.0 // what a warm one can do
-		restartAt   = 10 * time.Second
-		duration = 16 * time.Second
+		restarted    = 10
+		backendRate  = 25.0 // requests a second for each backend
+		warmCapacity = 30.0 // what a warm one can do
+		restartAt    = 10 * time.Second
+		duration     = 16 * time.Second
 	)
 	for _, gatewayCount := range []int{3, 30, 350} {
 		t.Run(fmt.Sprint(gatewayCount, " gateways"), func(t *testing.T) {
--- a/choice/limits_test.go
+++ b/choice/limits_test.go
@@ -11,7 +11,7 @@
 
 const (
 	maxFileLines = 400 // lines of a file of decisions, blank ones not counted
-	maxLineWidth  = 110 // characters, a tab counted as four
+	maxLineWidth = 110 // characters, a tab counted as four
 )
 
 // Each decision is read on call, so its file stays small enough to be read at
--- a/choice/membership_test.go
+++ b/choice/membership_test.go
@@ -81,7 +81,7 @@
 		for id := range uint32(60) {
 			g.Request(time.Duration(id)*10*ms, choice.Request{ID: id + 1, TimeLeft: time.Second, Units: 0.01, SetSize: 4})
 		}
-		return rec.log
+		return rec.actions
 	}
 	first := run()
 	for range 20 {
--- a/choice/rules_test.go
+++ b/choice/rules_test.go
@@ -23,38 +23,38 @@
 // ruleChecker holds the five rules as an outsider sees them: it watches events and
 // actions and shares no code with the module.
 type ruleChecker struct {
-	cfg      choice.Config
-	now      time.Duration
-	backends map[uint32]observedBackend
-	requests     map[uint32]*observedRequest
-	ceilings map[uint64]*observedCeiling
-	violations   []string
+	cfg        choice.Config
+	now        time.Duration
+	backends   map[uint32]observedBackend
+	requests   map[uint32]*observedRequest
+	ceilings   map[uint64]*observedCeiling
+	violations []string
 }
 
 type observedBackend struct {
 	choice.Backend
-	excluded bool
-	excludedAt   time.Duration
-	sends   []time.Duration // sends since its last start
+	excluded   bool
+	excludedAt time.Duration
+	sends      []time.Duration // sends since its last start
 }
 
 type observedRequest struct {
 	choice.Request
-	gateway int
-	deadline     time.Duration
-	attempts    []observedAttempt
-	ended   bool
+	gateway  int
+	deadline time.Duration
+	attempts []observedAttempt
+	ended    bool
 }
 
 type observedAttempt struct {
-	backend        choice.Backend
-	sentAt        time.Duration
+	backend            choice.Backend
+	sentAt             time.Duration
 	inFlight, neverRan bool
 }
 
 type observedCeiling struct {
-	tokens float64
-	updatedAt    time.Duration
+	tokens    float64
+	updatedAt time.Duration
 }
 
 func newRuleChecker(cfg choice.Config) *ruleChecker {
@@ -191,8 +191,8 @@
 	r.ended = true
 }
 
-// advance ends what is overdue.
-func (c *ruleChecker) advance(now time.Duration, slack time.Duration) {
+// advanceTo ends what is overdue.
+func (c *ruleChecker) advanceTo(now time.Duration, slack time.Duration) {
 	c.now = now
 	for id, r := range c.requests {
 		if !r.ended && now > r.deadline+slack {
@@ -208,11 +208,11 @@
 	ready := choice.Backend{ID: 1, Zone: 0, Cell: 0}
 	other := choice.Backend{ID: 2, Zone: 1, Cell: 1}
 	cases := []struct {
-		name string
-		rule string
-		events  func(tc *ruleChecker)
+		name   string
+		rule   string
+		events func(c *ruleChecker)
 	}{
-		{"lost", "rule 1", func(c *ruleChecker) { c.advance(10*time.Second, 8*time.Millisecond) }},
+		{"lost", "rule 1", func(c *ruleChecker) { c.advanceTo(10*time.Second, 8*time.Millisecond) }},
 		{"sent after the end", "rule 1", func(c *ruleChecker) { c.refuse(1); c.send(1, 1) }},
 		{"single shot again", "rule 2", func(c *ruleChecker) { c.send(2, 1); c.outcome(2, 0, choice.Error, false); c.send(2, 2) }},
 		{"single shot refused", "rule 2", func(c *ruleChecker) { c.send(2, 1); c.outcome(2, 0, choice.Timeout, false); c.refuse(2) }},
@@ -242,17 +242,17 @@
 			}
 		}},
 	}
-	for _, c := range cases {
-		t.Run(c.name, func(t *testing.T) {
-			k := newRuleChecker(cfg)
-			k.now = time.Second
-			k.updateBackends(choice.Cached, []choice.Backend{ready, other})
+	for _, tc := range cases {
+		t.Run(tc.name, func(t *testing.T) {
+			c := newRuleChecker(cfg)
+			c.now = time.Second
+			c.updateBackends(choice.Cached, []choice.Backend{ready, other})
 			for id := range uint32(3) {
-				k.request(0, choice.Request{ID: id + 1, Class: int(id), TimeLeft: time.Second, Units: 1})
+				c.request(0, choice.Request{ID: id + 1, Class: int(id), TimeLeft: time.Second, Units: 1})
 			}
-			c.events(k)
-			if len(k.violations) == 0 || k.violations[0][:6] != c.rule {
-				t.Fatalf("checker said %q, want a breach of %s", k.violations, c.rule)
+			tc.events(c)
+			if len(c.violations) == 0 || c.violations[0][:6] != tc.rule {
+				t.Fatalf("checker said %q, want a breach of %s", c.violations, tc.rule)
 			}
 		})
 	}
@@ -289,26 +289,26 @@
 
 // eventDriver drives gateways with random but legal events and keeps the checker informed.
 type eventDriver struct {
-	t      *rapid.T
-	checker      *ruleChecker
-	cfg    choice.Config
-	gateways  []*choice.Gateway
-	inFlight    []pendingAttempt
-	nextID uint32
-	backends   []choice.Backend
+	t        *rapid.T
+	checker  *ruleChecker
+	cfg      choice.Config
+	gateways []*choice.Gateway
+	inFlight []pendingAttempt
+	nextID   uint32
+	backends []choice.Backend
 }
 
 type pendingAttempt struct {
-	gateway    int
-	id      uint32
-	attempt int
-	backend uint32
-	sentAt    time.Duration
-	deadline     time.Duration
+	gateway  int
+	id       uint32
+	attempt  int
+	backend  uint32
+	sentAt   time.Duration
+	deadline time.Duration
 }
 
 type driverActions struct {
-	driver    *eventDriver
+	driver  *eventDriver
 	gateway int
 }
 
@@ -322,7 +322,9 @@
 	}
 	d.inFlight = append(d.inFlight, pendingAttempt{p.gateway, id, len(r.attempts) - 1, backend, d.checker.now, deadline})
 }
-func (p driverActions) Refuse(id uint32, _ time.Duration, _ choice.Reason) { p.driver.checker.refuse(id) }
+func (p driverActions) Refuse(id uint32, _ time.Duration, _ choice.Reason) {
+	p.driver.checker.refuse(id)
+}
 func (p driverActions) Fail(id uint32, _ choice.Reason) {
 	if r := p.driver.checker.requests[id]; r != nil {
 		r.ended = true
@@ -368,7 +370,7 @@
 			d.endAttempt(i, choice.Timeout)
 		}
 	}
-	d.checker.advance(d.checker.now, 80*time.Millisecond)
+	d.checker.advanceTo(d.checker.now, 80*time.Millisecond)
 	index := rapid.IntRange(0, len(d.gateways)-1).Draw(t, "gate")
 	switch rapid.IntRange(0, 9).Draw(t, "event") {
 	case 0, 1, 2, 3:
--- a/choice/stopping_test.go
+++ b/choice/stopping_test.go
@@ -12,7 +12,7 @@
 type stopRecorder struct {
 	now     time.Duration
 	sent    map[uint32][]sentAttempt
-	answers    map[uint32][]string
+	answers map[uint32][]string
 	timers  []pendingTimer
 	reasons map[uint32]choice.Reason
 }
