--- a/choice/bench_test.go
+++ b/choice/bench_test.go
@@ -8,7 +8,7 @@
 	"cedarseam/choice"
 )
 
-// BenchmarkRequest measures one request with its outcome, at a small deployment and at a large one.
+// BenchmarkRequest measures a request and its outcome, in a small and in a large deployment.
 func BenchmarkRequest(b *testing.B) {
 	for _, size := range [...]struct{ gateways, backends int }{{3, 10}, {400, 87}} {
 		b.Run(fmt.Sprintf("%dx%d", size.gateways, size.backends), func(b *testing.B) {
@@ -24,16 +24,18 @@
 			for i := 0; b.Loop(); i++ {
 				now := time.Duration(i) * 20 * ms
 				id := uint32(i + 1)
-				g.Request(now, choice.Request{ID: id, Customer: uint64(i % 200), SetSize: size.gateways, Units: 1, TimeLeft: time.Second})
+				g.Request(now, choice.Request{ID: id, Customer: uint64(i % 200), SetSize: size.gateways, Units: 1,
+					TimeLeft: time.Second})
 				if rec.id == id {
-					g.Outcome(now+10*ms, choice.Outcome{ID: id, Backend: rec.backend, Elapsed: 10 * ms, Answered: true, Metered: true, Used: 0.5})
+					g.Outcome(now+10*ms, choice.Outcome{ID: id, Backend: rec.backend, Elapsed: 10 * ms, Answered: true,
+						Metered: true, Used: 0.5})
 				}
 			}
 		})
 	}
 }
 
-// lastSendRecorder remembers the last attempt sent.
+// lastSendRecorder is an Actions that records the last attempt sent.
 type lastSendRecorder struct{ id, backend uint32 }
 
 func (l *lastSendRecorder) Send(id, backend uint32, _ time.Duration)    { l.id, l.backend = id, backend }
--- a/choice/ceiling_test.go
+++ b/choice/ceiling_test.go
@@ -9,9 +9,9 @@
 	"cedarseam/choice"
 )
 
-// ceilingSimulation plays one customer's gateways on a clock of its own: requests by
-// chance, uneven over the gateways, answers that carry a late meter, and
-// gateways that are killed and start again. It keeps the one true store.
+// ceilingSimulation simulates the gateways of one customer: requests arrive at random and unevenly over the
+// gateways, answers report delayed meter readings, and gateways crash and restart. It keeps the reference
+// token bucket of the ceiling, from which the requests of all gateways draw.
 type ceilingSimulation struct {
 	cfg      choice.Config
 	rng      *rand.Rand
@@ -19,28 +19,30 @@
 	gateways []*ceilingGateway
 
 	offeredRate     func(now time.Duration) float64       // units a second
-	meterLag        func(now time.Duration) time.Duration // from a period's end to its first showing
-	shuffleInterval time.Duration                         // the busiest gateways change so often; 0: never
-	busiestShare    float64                               // share of the busiest gateway; 0: by a power law
+	meterLag        func(now time.Duration) time.Duration // from the end of a period to its first reading
+	shuffleInterval time.Duration                         // how often the traffic shares change; 0: never
+	busiestShare    float64                               // share of the busiest gateway; 0: shares by a power law
 
 	trafficShares []float64
-	periodUse     []float64 // units first sent, by period
+	periodUse     []float64 // units of the first attempts, by meter period
 	answers       []ceilingAnswer
 	nextID        uint32
 
-	tokens, minTokens         float64 // the true store, and the lowest it stood
+	tokens, minTokens         float64 // the reference bucket, and its lowest level
 	tokensAt                  time.Duration
 	requestedUnits, sentUnits float64
 }
 
+// ceilingGateway is a gateway of the simulation and the Actions of its current process.
 type ceilingGateway struct {
 	sim         *ceilingSimulation
-	gateway     *choice.Gateway // nil while it is down
-	restartAt   time.Duration   // when it starts again
+	gateway     *choice.Gateway // nil while the gateway is down
+	restartAt   time.Duration   // when it restarts, if it is down
 	incarnation int
 	index       int
 }
 
+// ceilingAnswer is the answer to an attempt of one process of a gateway.
 type ceilingAnswer struct {
 	at          time.Duration
 	gateway     *ceilingGateway
@@ -57,7 +59,8 @@
 	s.minTokens = min(s.minTokens, s.tokens)
 	s.sentUnits += units
 	s.periodUse[s.now/s.cfg.MeterPeriod] += units
-	s.answers = append(s.answers, ceilingAnswer{s.now + time.Duration(50+s.rng.IntN(200))*ms, g, g.incarnation,
+	s.answers = append(s.answers, ceilingAnswer{
+		s.now + time.Duration(50+s.rng.IntN(200))*ms, g, g.incarnation,
 		choice.Outcome{ID: id, Backend: backend, Status: choice.OK, Answered: true, Elapsed: 100 * ms}})
 }
 func (g *ceilingGateway) Refuse(uint32, time.Duration, choice.Reason) {}
@@ -78,7 +81,7 @@
 	g.gateway.UpdateBackends(g.sim.now, choice.Cached, newBackends(40))
 }
 
-// crash ends so many gateways at once, and starts each again within a second.
+// crash stops n random gateways. Each restarts 100 to 199 ms later.
 func (s *ceilingSimulation) crash(n int) {
 	for _, i := range s.rng.Perm(len(s.gateways))[:n] {
 		s.gateways[i].gateway = nil
@@ -86,7 +89,7 @@
 	}
 }
 
-// shuffleTraffic draws anew how the requests fall on the gateways.
+// shuffleTraffic draws new shares of the requests for the gateways.
 func (s *ceilingSimulation) shuffleTraffic() {
 	s.trafficShares = make([]float64, len(s.gateways))
 	sum := 0.0
@@ -105,7 +108,7 @@
 	}
 }
 
-// meterReading is the meter's reading now, a share of the rate in whole percents.
+// meterReading returns the current reading of the meter: a fraction of the rate, in whole percents.
 func (s *ceilingSimulation) meterReading() float64 {
 	period := s.cfg.MeterPeriod
 	shownPeriod := int((s.now-s.meterLag(s.now))/period) - 1
@@ -115,7 +118,7 @@
 	return math.Round(100*s.periodUse[shownPeriod]/(s.cfg.Plans[0].Rate*period.Seconds())) / 100
 }
 
-// run runs the fleet, and every gateway's kill at its time.
+// run runs the simulation. crashes gives the number of gateways that crash, by time.
 func (s *ceilingSimulation) run(t *testing.T, duration time.Duration, crashes map[time.Duration]int) {
 	t.Helper()
 	const tick = 10 * ms
@@ -158,14 +161,15 @@
 			for ; i < n-1 && position >= s.trafficShares[i]; i++ {
 				position -= s.trafficShares[i]
 			}
-			for s.gateways[i].gateway == nil { // the front sends it to another
+			for s.gateways[i].gateway == nil { // clients reach another gateway
 				i = s.rng.IntN(n)
 			}
 			s.nextID++
 			id := s.nextID*uint32(s.cfg.MaxUnits) + uint32(s.rng.IntN(int(s.cfg.MaxUnits)))
 			units := float64(id%uint32(s.cfg.MaxUnits)) + 1
 			s.requestedUnits += units
-			s.gateways[i].gateway.Request(s.now, choice.Request{ID: id, Customer: 1, SetSize: n, Units: units, TimeLeft: 2 * time.Second})
+			s.gateways[i].gateway.Request(s.now, choice.Request{ID: id, Customer: 1, SetSize: n, Units: units,
+				TimeLeft: 2 * time.Second})
 		}
 	}
 }
@@ -174,16 +178,16 @@
 	cfg := baseConfig()
 	cfg.Gateways, cfg.MaxUnits, cfg.MeterPeriod = gateways, 3, time.Second
 	cfg.Classes[0].Deadline = 4 * time.Second
-	// As on the users' days: a set is no larger than the burst over two of the largest requests.
-	cfg.Plans[0] = choice.Plan{Rate: 25, Burst: 1e9, Price: 1, CeilingRate: 55, CeilingBurst: 6.4 * float64(gateways), CeilingTolerance: 8}
+	// As in the deployments, the burst holds at least two of the largest requests for each gateway of the set.
+	cfg.Plans[0] = choice.Plan{Rate: 25, Burst: 1e9, Price: 1,
+		CeilingRate: 55, CeilingBurst: 6.4 * float64(gateways), CeilingTolerance: 8}
 	return &ceilingSimulation{cfg: cfg, rng: rand.New(rand.NewPCG(seed, 1)), offeredRate: offeredRate,
 		meterLag: func(time.Duration) time.Duration { return 700 * ms }}
 }
 
-// What the gateways of a set first send for one customer stays within the
-// ceiling's rate, burst and tolerance in every order: the meter late or later
-// still, traffic uneven and shifting, gateways killed and started again. The
-// quota lets all pass here, so that the ceiling alone holds.
+// The first attempts of all gateways of a set must stay within the ceiling's rate, burst and tolerance: also
+// with a delayed meter, with uneven and shifting traffic, and when gateways crash and restart. The quota
+// admits everything here, so that only the ceiling limits.
 func TestCeilingAppliesToWholeGatewaySet(t *testing.T) {
 	steady := func(now time.Duration) float64 { return 200 }
 	spikes := func(now time.Duration) float64 {
@@ -207,13 +211,17 @@
 		crashes         map[time.Duration]int
 		busiestShare    float64
 	}{
-		{name: "always beyond", offeredRate: steady},
-		{name: "always beyond, traffic shifts", offeredRate: steady, shuffleInterval: 10 * time.Second},
-		{name: "always beyond, killed", offeredRate: steady, crashes: crashes},
+		{name: "always above the ceiling", offeredRate: steady},
+		{name: "always above the ceiling, traffic shifts", offeredRate: steady,
+			shuffleInterval: 10 * time.Second},
+		{name: "always above the ceiling, crashes", offeredRate: steady, crashes: crashes},
 		{name: "spikes, traffic shifts", offeredRate: spikes, shuffleInterval: 10 * time.Second},
-		{name: "spikes, the meter later than usual", offeredRate: spikes, meterLag: delayedMeter, shuffleInterval: 10 * time.Second},
-		{name: "spikes, the meter later, killed", offeredRate: spikes, meterLag: delayedMeter, shuffleInterval: 10 * time.Second, crashes: crashes},
-		{name: "spikes, most at one gateway", offeredRate: spikes, meterLag: delayedMeter, shuffleInterval: 7 * time.Second, crashes: crashes, busiestShare: 0.6},
+		{name: "spikes, delayed meter", offeredRate: spikes, meterLag: delayedMeter,
+			shuffleInterval: 10 * time.Second},
+		{name: "spikes, delayed meter, crashes", offeredRate: spikes, meterLag: delayedMeter,
+			shuffleInterval: 10 * time.Second, crashes: crashes},
+		{name: "spikes, most at one gateway", offeredRate: spikes, meterLag: delayedMeter,
+			shuffleInterval: 7 * time.Second, crashes: crashes, busiestShare: 0.6},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			for seed := range uint64(12) {
@@ -224,18 +232,20 @@
 				s.shuffleInterval, s.busiestShare = c.shuffleInterval, c.busiestShare
 				s.run(t, 50*time.Second, c.crashes)
 				if limit := -s.cfg.Plans[0].CeilingTolerance; s.minTokens < limit {
-					t.Errorf("seed %d: the store stood at %.1f, want %.0f at least", seed, s.minTokens, limit)
+					t.Errorf("seed %d: the reference bucket fell to %.1f units, want at least %.0f",
+						seed, s.minTokens, limit)
 				}
 				if s.requestedUnits < 2*s.sentUnits {
-					t.Fatalf("seed %d: %.0f of %.0f units passed: the ceiling was not in the way", seed, s.sentUnits, s.requestedUnits)
+					t.Fatalf("seed %d: %.0f of %.0f units sent, want at most half: the ceiling did not limit",
+						seed, s.sentUnits, s.requestedUnits)
 				}
 			}
 		})
 	}
 }
 
-// Seven in ten gateways are killed right after a burst has emptied the store,
-// and start again at once. Their part was drawn by the life before.
+// Nine of 13 gateways restart right after a burst has emptied the ceiling's bucket. The previous processes
+// have drawn their shares, so the new ones must not start with full shares.
 func TestRestartDoesNotRefillCeiling(t *testing.T) {
 	s := newCeilingSimulation(13, 1, nil)
 	s.periodUse = make([]float64, 60)
@@ -250,27 +260,27 @@
 		before := s.sentUnits
 		for range 20 {
 			for _, g := range s.gateways {
-				s.nextID++ // of one unit
+				s.nextID++ // with this id the request is of one unit; see Send
 				g.gateway.Request(s.now, choice.Request{ID: s.nextID * uint32(s.cfg.MaxUnits), Customer: 1,
 					SetSize: len(s.gateways), Units: 1, TimeLeft: 2 * time.Second})
 			}
 		}
 		return s.sentUnits - before
 	}
-	s.now = 30 * time.Second // all parts are full
+	s.now = 30 * time.Second // the shares of all gateways are full
 	if first := burst(); first < plan.CeilingBurst-float64(len(s.gateways)) {
-		t.Fatalf("%.0f units passed of a full store of %.0f", first, plan.CeilingBurst)
+		t.Fatalf("%.0f units sent from a full bucket of %.0f, want nearly all", first, plan.CeilingBurst)
 	}
 	for _, g := range s.gateways[:9] {
 		g.start(t)
 	}
 	if again := burst(); again > 0 {
-		t.Errorf("%.0f units passed of an empty store, which then stood at %.1f", again, s.minTokens)
+		t.Errorf("%.0f units sent from an empty bucket, which fell to %.1f; want none", again, s.minTokens)
 	}
 }
 
-// What falls on a gateway inside its even part passes, whatever the others
-// send, also soon after a restart: an empty part fills like the store.
+// Requests within a gateway's even share of the ceiling must be admitted, whatever other gateways send, and
+// also soon after a restart: the empty share refills at its even part of the ceiling's rate.
 func TestEvenShareOfCeilingIsAdmitted(t *testing.T) {
 	const gateways = 40
 	cfg := baseConfig()
@@ -283,34 +293,35 @@
 		return submitRequest(g, rec, now, choice.Request{ID: id, Customer: 1, SetSize: gateways, Units: units}, 0)
 	}
 	if admit(0, 1) {
-		t.Error("passed of a part that is empty")
+		t.Error("admitted with an empty share")
 	}
 	if !admit(700*ms, 1) {
-		t.Error("refused with 1.05 units filled")
+		t.Error("refused with 1.05 units in the share")
 	}
 	admitted, requested := 0.0, 0.0
-	for now := 2 * time.Second; now < 30*time.Second; now += 720 * ms { // nine tenths of 1.5 units a second, and some chance
+	// 1.39 units a second, within the share's rate of 1.5
+	for now := 2 * time.Second; now < 30*time.Second; now += 720 * ms {
 		requested++
 		if admit(now, 1) {
 			admitted++
 		}
 	}
 	if admitted < requested {
-		t.Errorf("%.0f of %.0f pass inside the even part, want all", admitted, requested)
+		t.Errorf("%.0f of %.0f admitted within the even share, want all", admitted, requested)
 	}
-	now := 60 * time.Second // full again
+	now := 60 * time.Second // the share is full again
 	for n := range 4 {
 		if !admit(now, 1) {
-			t.Errorf("refused with %d of 4 units drawn", n)
+			t.Errorf("refused with %d of the share's 4 units drawn", n)
 		}
 	}
 	if admit(now, 1) {
-		t.Error("a fifth unit passed of a part of 4")
+		t.Error("a fifth unit was admitted with a share of 4 units")
 	}
 }
 
-// The ceiling counts what comes to a backend, and when. Connections that fail
-// late must not add what they held up to what has filled meanwhile.
+// The ceiling counts units at the time at which a backend receives them. When a connection fails late, the
+// units of its attempt have been refilled in the meantime: the retry must draw again, or both would be sent.
 func TestRetryAfterConnectFailureDrawsCeilingAgain(t *testing.T) {
 	cfg := baseConfig()
 	cfg.Plans[0] = choice.Plan{Rate: 1000, Burst: 1000, CeilingRate: 4, CeilingBurst: 8, Price: 1}
@@ -321,30 +332,31 @@
 		g.Request(now, choice.Request{ID: id, Customer: 1, SetSize: 2, Units: 1, TimeLeft: 9 * time.Second})
 		return len(rec.sent[id]) > 0
 	}
-	now := 20 * time.Second // the part of 4 is full
+	now := 20 * time.Second // the share of 4 units is full
 	for n := range 4 {
 		if !submit(now) {
-			t.Fatalf("refused with %d of 4 units drawn", n)
+			t.Fatalf("refused with %d of the share's 4 units drawn", n)
 		}
 	}
-	now += 2 * time.Second // full again
+	now += 2 * time.Second // the share is full again
 	for id := range uint32(4) {
 		g.Outcome(now, choice.Outcome{ID: id + 1, Backend: rec.sent[id+1][0], Status: choice.ConnectFailed})
 		if len(rec.sent[id+1]) != 2 {
-			t.Fatalf("request %d was not tried again: %v", id+1, rec.actions)
+			t.Fatalf("request %d was not retried; the actions are %v", id+1, rec.actions)
 		}
 	}
 	if submit(now) {
-		t.Error("a fifth unit comes to a backend at once, of a part of 4")
+		t.Error("a fifth unit was sent at once with a share of 4 units")
 	}
-	// One that was turned away has come to a backend: its repeat draws nothing more.
+	// A refused attempt has reached a backend: its retry draws no further units.
 	g.Outcome(now, choice.Outcome{ID: 1, Attempt: 1, Backend: rec.sent[1][1], Status: choice.Refused})
 	if len(rec.sent[1]) != 3 {
-		t.Error("a request that was turned away was not tried again with the part empty")
+		t.Error("a request that a backend refused was not retried with the share empty")
 	}
-	// Without units left, what never came is refused.
+	// A request that never reached a backend is refused once no units are left.
 	g.Outcome(now, choice.Outcome{ID: 2, Attempt: 1, Backend: rec.sent[2][1], Status: choice.ConnectFailed})
 	if len(rec.sent[2]) != 2 || !rec.refused[2] {
-		t.Errorf("request 2 was sent %d times, refused: %v; want it refused with the part empty", len(rec.sent[2]), rec.refused[2])
+		t.Errorf("request 2 was sent %d times, refused: %t; want it sent twice and refused, with the share empty",
+			len(rec.sent[2]), rec.refused[2])
 	}
 }
--- a/choice/choice_test.go
+++ b/choice/choice_test.go
@@ -15,10 +15,10 @@
 
 const ms = time.Millisecond
 
-// recorder keeps every action as text and the sends and refusals by request.
+// recorder is an Actions that records every action as text, and sends, refusals and failures by request.
 type recorder struct {
 	actions []string
-	sent    map[uint32][]uint32 // backends by request
+	sent    map[uint32][]uint32 // backends of the attempts, by request
 	refused map[uint32]bool
 	failed  map[uint32]bool
 	probed  []uint32
@@ -32,21 +32,21 @@
 	r.actions = append(r.actions, fmt.Sprintf(format, args...))
 }
 func (r *recorder) Send(id, backend uint32, timeout time.Duration) {
-	r.logf("send %d to %d within %v", id, backend, timeout)
+	r.logf("send %d to backend %d with timeout %v", id, backend, timeout)
 	r.sent[id] = append(r.sent[id], backend)
 }
 func (r *recorder) Refuse(id uint32, after time.Duration, _ choice.Reason) {
-	r.logf("refuse %d for %v", id, after)
+	r.logf("refuse %d, retry after %v", id, after)
 	r.refused[id] = true
 }
 func (r *recorder) Fail(id uint32, _ choice.Reason) { r.logf("fail %d", id); r.failed[id] = true }
-func (r *recorder) Cancel(id uint32, attempt int)   { r.logf("cancel %d/%d", id, attempt) }
-func (r *recorder) Probe(b uint32)                  { r.logf("probe %d", b); r.probed = append(r.probed, b) }
+func (r *recorder) Cancel(id uint32, attempt int)   { r.logf("cancel %d attempt %d", id, attempt) }
+func (r *recorder) Probe(b uint32)                  { r.logf("probe backend %d", b); r.probed = append(r.probed, b) }
 func (r *recorder) SetTimer(wait time.Duration, token uint64) {
-	r.logf("after %v token %d", wait, token)
+	r.logf("set timer %v token %d", wait, token)
 }
 
-// baseConfig is a deployment of four gateways with one free class and one rate plan.
+// baseConfig returns the configuration of four gateways with one free class and one plan with a rate.
 func baseConfig() choice.Config {
 	return choice.Config{
 		Gateways: 4, MeterPeriod: 500 * ms, MaxUnits: 1, MaxAttempts: 3,
@@ -74,7 +74,8 @@
 	return g, rec
 }
 
-// submitRequest sends one request and, when it was passed, answers it well at once.
+// submitRequest submits a request and, if it is admitted, answers it successfully at once. The answer reports a
+// meter reading unless that is negative.
 func submitRequest(g *choice.Gateway, rec *recorder, now time.Duration, r choice.Request, reading float64) (admitted bool) {
 	if r.TimeLeft == 0 {
 		r.TimeLeft = time.Second
@@ -107,16 +108,16 @@
 		cfg := baseConfig()
 		invalidate(&cfg)
 		if _, err := choice.New(cfg, 1, 0, newRecorder()); err == nil || !strings.Contains(err.Error(), field) {
-			t.Errorf("spoilt %s: error %v does not name it", field, err)
+			t.Errorf("invalid %s: got error %v, want one that names the field", field, err)
 		}
 	}
 	if _, err := choice.New(baseConfig(), 1, 0, nil); err == nil {
-		t.Error("nil Actions were taken")
+		t.Error("New accepted nil Actions, want an error")
 	}
 }
 
-// A full store of 24 units passes an even part at each of 1 to 4 gateways, and
-// more only where nothing tells of others.
+// Without a reading, a gateway admits at least its even share of the full bucket of 24 units, and never more
+// than the bucket.
 func TestUnmeasuredCustomerGetsEvenShare(t *testing.T) {
 	for setSize := 1; setSize <= 4; setSize++ {
 		g, rec := newTestGateway(t, baseConfig(), newBackends(4))
@@ -127,13 +128,15 @@
 			}
 		}
 		if evenShare := 24 / setSize; admitted < evenShare || admitted > 24 {
-			t.Errorf("spread %d: %d passed at once, want between the even share %d and the store 24", setSize, admitted, evenShare)
+			t.Errorf("set of %d gateways: %d admitted at once, want between the even share %d and the burst 24",
+				setSize, admitted, evenShare)
 		}
 	}
 }
 
-// simulateCustomer plays one customer through some gateways and a late meter by plain
-// arithmetic: no fleet, each passed request is answered at once.
+// simulateCustomer sends one customer's requests to several gateways with a delayed meter; each admitted
+// request is answered at once. For the second half of the time it returns the admitted rate, in units a
+// second, and the share of requests refused.
 func simulateCustomer(t *testing.T, gatewayCount int, trafficShares []float64, offeredRate float64, lagPeriods int, duration time.Duration) (rate, refusedShare float64) {
 	cfg := baseConfig()
 	cfg.Gateways = gatewayCount
@@ -149,7 +152,7 @@
 	for now := 2 * ms; now < duration; now += 2 * ms {
 		requestsDue += offeredRate * 0.002
 		for ; requestsDue >= 1; requestsDue-- {
-			position = math.Mod(position+0.618034, 1) // an even sequence, spread by the weights
+			position = math.Mod(position+0.618034, 1) // golden-ratio sequence, which is even
 			index, sum := 0, trafficShares[0]
 			for position > sum && index < gatewayCount-1 {
 				index++
@@ -175,8 +178,8 @@
 	return admitted / (duration / 2).Seconds(), 1 - admitted/requested
 }
 
-// In the long run what all gateways pass stays near the quota, and what is
-// refused near b = 1 - quota / offered, however the traffic is split.
+// In the long run the rate that all gateways admit stays near the quota, and the share refused near
+// 1 - quota / offered rate, however the traffic is split.
 func TestAdmittedRateStaysNearQuota(t *testing.T) {
 	for _, c := range []struct {
 		gateways      int
@@ -192,18 +195,21 @@
 	} {
 		rate, refusedShare := simulateCustomer(t, c.gateways, c.trafficShares, c.offeredRate, c.lagPeriods, 60*time.Second)
 		if rate < 8 || rate > 12 {
-			t.Errorf("%d gateways %v offered %.0f: %.1f units a second passed, want about 10", c.gateways, c.trafficShares, c.offeredRate, rate)
+			t.Errorf("%d gateways %v, offered rate %.0f: %.1f units a second admitted, want about 10",
+				c.gateways, c.trafficShares, c.offeredRate, rate)
 		}
 		if wantShare := 1 - 10/c.offeredRate; math.Abs(refusedShare-wantShare) > 0.07 {
-			t.Errorf("%d gateways %v offered %.0f: %.2f refused, want about b = %.2f", c.gateways, c.trafficShares, c.offeredRate, refusedShare, wantShare)
+			t.Errorf("%d gateways %v, offered rate %.0f: share of %.2f refused, want about %.2f",
+				c.gateways, c.trafficShares, c.offeredRate, refusedShare, wantShare)
 		}
 	}
 	if rate, refused := simulateCustomer(t, 3, []float64{0.5, 0.3, 0.2}, 5, 1, 60*time.Second); refused > 0.02 {
-		t.Errorf("half the quota asked: %.2f refused (%.1f passed), want none", refused, rate)
+		t.Errorf("half the quota offered: share of %.2f refused (%.1f units a second admitted), want none",
+			refused, rate)
 	}
 }
 
-// A reading of several hundred per cent must not lock a customer out.
+// After a reading of several times the quota, a customer that then sends little must be admitted again.
 func TestCustomerRecoversFromHighReading(t *testing.T) {
 	g, rec := newTestGateway(t, baseConfig(), newBackends(4))
 	id := uint32(0)
@@ -219,44 +225,43 @@
 		}
 	}
 	if admitted < 20 {
-		t.Errorf("%d of 24 passed once the customer asked little, want 20 at least", admitted)
+		t.Errorf("%d of 24 admitted after the customer's rate fell, want at least 20", admitted)
 	}
 }
 
-// The same reading comes with many answers of one period; each period counts
-// once, or the store would run down with every answer.
+// All answers within a meter period report the same reading. It must count once, or each answer would draw
+// from the token bucket again.
 func TestRepeatedReadingCountsOnce(t *testing.T) {
 	g, rec := newTestGateway(t, baseConfig(), newBackends(4))
 	id, refused := uint32(0), 0
-	for now := time.Duration(0); now < 20*time.Second; now += 125 * ms { // 8 a second, under the quota of 10
+	for now := time.Duration(0); now < 20*time.Second; now += 125 * ms { // 8 a second, within the quota of 10
 		id++
 		if !submitRequest(g, rec, now, choice.Request{ID: id, Customer: 1, SetSize: 1}, 0.8) {
 			refused++
 		}
 	}
 	if refused > 0 {
-		t.Errorf("%d of %d refused under the quota", refused, id)
+		t.Errorf("%d of %d refused within the quota, want none", refused, id)
 	}
 }
 
-// A long wait for a reading must not run the share down for good: what was
-// passed long ago has been filled again.
+// If no reading arrives for a long time, the gateway's share of the token bucket must still refill.
 func TestTokenShareRefillsWithoutReadings(t *testing.T) {
 	g, rec := newTestGateway(t, baseConfig(), newBackends(4))
 	id, refused := uint32(0), 0
-	for now := time.Duration(0); now < 40*time.Second; now += 500 * ms { // 2 a second, of an even part of 2.5
+	for now := time.Duration(0); now < 40*time.Second; now += 500 * ms { // 2 a second, within the even share of 2.5
 		id++
 		if !submitRequest(g, rec, now, choice.Request{ID: id, Customer: 1, SetSize: 4}, -1) {
 			refused++
 		}
 	}
 	if refused > 0 {
-		t.Errorf("%d of %d refused within the even part", refused, id)
+		t.Errorf("%d of %d refused within the even share, want none", refused, id)
 	}
 }
 
-// A customer that the meter shows calm does not pass a spike at the chance 1
-// until the late meter shows it.
+// A spike of a customer whose readings are within the quota must be limited before the delayed meter shows it,
+// although the admission probability by its readings is 1.
 func TestSpikeIsLimitedBeforeMeterShowsIt(t *testing.T) {
 	g, rec := newTestGateway(t, baseConfig(), newBackends(4))
 	id := uint32(0)
@@ -272,7 +277,7 @@
 		}
 	}
 	if admitted > 34 {
-		t.Errorf("%d of 200 passed, more than the whole store and its refill", admitted)
+		t.Errorf("%d of 200 admitted, want at most 34: the burst of 24 and a second's refill of 10", admitted)
 	}
 }
 
@@ -284,21 +289,21 @@
 		g.Request(0, choice.Request{ID: i + 1, Customer: 1, SetSize: 2, Units: 1, TimeLeft: time.Second})
 	}
 	if len(rec.sent) != 2 || len(rec.refused) != 4 {
-		t.Errorf("%d sent and %d refused, want the even part of 2 and 4", len(rec.sent), len(rec.refused))
+		t.Errorf("%d sent and %d refused, want 2, which is the even share, and 4", len(rec.sent), len(rec.refused))
 	}
 }
 
-// A restarted gateway cannot know what it drew before, so its part of a
-// ceiling starts empty and fills.
+// A restarted gateway does not know what its previous process drew, so its share of a ceiling starts empty and
+// fills.
 func TestCeilingShareStartsEmpty(t *testing.T) {
 	cfg := baseConfig()
 	cfg.Plans[0].CeilingRate, cfg.Plans[0].CeilingBurst = 20, 48
 	g, rec := newTestGateway(t, cfg, newBackends(4))
 	if submitRequest(g, rec, 0, choice.Request{ID: 1, Customer: 1, SetSize: 2}, -1) {
-		t.Error("passed from a part that is empty")
+		t.Error("admitted with an empty share")
 	}
 	if !submitRequest(g, rec, 200*ms, choice.Request{ID: 2, Customer: 1, SetSize: 2}, -1) {
-		t.Error("refused with two units filled")
+		t.Error("refused with two units in the share")
 	}
 }
 
@@ -311,7 +316,7 @@
 		r.ID = uint32(i + 1)
 		g.Request(0, r)
 		if !rec.refused[r.ID] {
-			t.Errorf("request %+v has no answer", r)
+			t.Errorf("request %+v was not refused", r)
 		}
 	}
 	g.Outcome(0, choice.Outcome{ID: 99})
@@ -320,7 +325,7 @@
 	g.TimerExpired(0, 1<<40)
 	g.ProbeResult(0, choice.ProbeResult{Backend: 99})
 	if len(rec.sent) != 0 {
-		t.Errorf("sent %v for events that name nothing known", rec.sent)
+		t.Errorf("sent %v after invalid requests and events with unknown ids, want nothing", rec.sent)
 	}
 }
 
@@ -328,12 +333,12 @@
 	g, rec := newTestGateway(t, baseConfig(), nil)
 	submitRequest(g, rec, 0, choice.Request{ID: 1, Customer: 1, SetSize: 1}, -1)
 	if !rec.refused[1] {
-		t.Error("held with no backend to send to")
+		t.Error("a request was not refused although there is no backend")
 	}
 }
 
-// A backend that fails fast holds little work; its short queue must not draw
-// traffic to it.
+// A backend that fails at once has few attempts in flight and therefore looks cheap. It must be ejected and
+// not attract the traffic.
 func TestFastFailingBackendIsEjected(t *testing.T) {
 	g, rec := newTestGateway(t, baseConfig(), newBackends(6))
 	sentToFailing := 0
@@ -348,12 +353,11 @@
 		g.Outcome(now, choice.Outcome{ID: id, Backend: rec.sent[id][0], Status: status, Elapsed: 5 * ms, Answered: true})
 	}
 	if sentToFailing > 30 {
-		t.Errorf("%d of 600 went to the backend that fails all, want 30 at most", sentToFailing)
+		t.Errorf("%d of 600 sent to the backend that fails every attempt, want at most 30", sentToFailing)
 	}
 }
 
-// A backend that takes attempts and answers none is passed over before any of
-// them has timed out.
+// A backend that accepts attempts and answers none must be avoided before any of them times out.
 func TestUnresponsiveBackendIsAvoided(t *testing.T) {
 	g, rec := newTestGateway(t, baseConfig(), newBackends(4))
 	lateSends := 0
@@ -367,7 +371,7 @@
 		}
 	}
 	if lateSends > 2 {
-		t.Errorf("%d sent to a backend silent for a second, want 2 at most", lateSends)
+		t.Errorf("%d sent to a backend that has not answered for a second, want at most 2", lateSends)
 	}
 }
 
@@ -382,11 +386,11 @@
 		}
 	}
 	if coldAttempts > 1 {
-		t.Errorf("%d attempts out at a backend at a fifth of its capacity, want 1 at most", coldAttempts)
+		t.Errorf("%d attempts in flight at a backend with a fifth of its capacity, want at most 1", coldAttempts)
 	}
 }
 
-// In a jam every answer misses its aim; fewer attempts out bring them back.
+// If all backends are saturated, every answer misses its aim. The concurrency limit must then shrink.
 func TestLateAnswersShrinkConcurrencyLimit(t *testing.T) {
 	g, rec := newTestGateway(t, baseConfig(), newBackends(4))
 	id, maxInFlight := uint32(0), 0
@@ -407,7 +411,7 @@
 		}
 	}
 	if maxInFlight > 3 {
-		t.Errorf("%d attempts out after seconds of answers at twice the aim, want 3 at most", maxInFlight)
+		t.Errorf("%d attempts in flight after seconds of answers at twice the aim, want at most 3", maxInFlight)
 	}
 }
 
@@ -430,7 +434,7 @@
 			t.Errorf("class %d after %d: sent again %v, failed %v", c.class, c.status, again, rec.failed[1])
 		}
 		if c.retried && rec.sent[1][0] == rec.sent[1][1] {
-			t.Errorf("class %d after %d: sent again to the same backend", c.class, c.status)
+			t.Errorf("class %d after status %d: retried at the same backend, want another", c.class, c.status)
 		}
 	}
 }
@@ -450,12 +454,12 @@
 		return rec.actions
 	}
 	if a, b := run(), run(); !reflect.DeepEqual(a, b) {
-		t.Error("two runs of the same events differ")
+		t.Error("two runs of the same events gave different actions")
 	}
 }
 
-// Before a customer was known nothing of it was refused: its first reading, at
-// the quota, must not read the empty history as if all had been.
+// No request of a customer was refused before its first reading. If that reading is at the cap, the empty
+// history must not count as if all requests had been refused.
 func TestFirstReadingAtCapKeepsAdmitProbability(t *testing.T) {
 	cfg := baseConfig()
 	cfg.Plans = []choice.Plan{{MaxInFlight: 8, Price: 1}}
@@ -467,12 +471,12 @@
 		}
 	}
 	if admitted < 38 {
-		t.Errorf("%d of 40 passed with the peak at the cap, want 38 at least", admitted)
+		t.Errorf("%d of 40 admitted with the peak in flight at the cap, want at least 38", admitted)
 	}
 }
 
-// A connect failure costs no backend any work, so it is tried elsewhere even
-// with the budget for further attempts spent.
+// An attempt that failed to connect caused no work at a backend, so its request is retried even when the retry
+// budget is used up.
 func TestConnectFailuresDoNotUseRetryBudget(t *testing.T) {
 	g, rec := newTestGateway(t, baseConfig(), newBackends(8))
 	for i := range uint32(30) {
@@ -480,18 +484,19 @@
 		g.Request(now, choice.Request{ID: id, Customer: uint64(i), SetSize: 1, Units: 1, TimeLeft: time.Second})
 		g.Outcome(now, choice.Outcome{ID: id, Backend: rec.sent[id][0], Status: choice.ConnectFailed})
 		if len(rec.sent[id]) != 2 {
-			t.Fatalf("request %d was sent %d times, want a second", id, len(rec.sent[id]))
+			t.Fatalf("request %d was sent %d times, want 2", id, len(rec.sent[id]))
 		}
 		g.Outcome(now, choice.Outcome{ID: id, Attempt: 1, Backend: rec.sent[id][1], Status: choice.OK, Elapsed: 5 * ms, Answered: true})
 	}
 }
 
-// A ceiling's part that is not full again must not be forgotten with its customer.
+// The record of an idle customer must be kept until its share of the ceiling is full again: a new record would
+// start with a full share.
 func TestIdleCustomerKeepsDrawnCeiling(t *testing.T) {
 	cfg := baseConfig()
 	cfg.Plans[0] = choice.Plan{Rate: 100, Burst: 100, CeilingRate: 0.5, CeilingBurst: 40, Price: 1}
 	g, rec := newTestGateway(t, cfg, newBackends(4))
-	now, id := 200*time.Second, uint32(0) // the part of 40 has filled
+	now, id := 200*time.Second, uint32(0) // the share of 40 units is full
 	countAdmitted := func() (n int) {
 		for range 60 {
 			id++
@@ -502,23 +507,23 @@
 		return
 	}
 	if first := countAdmitted(); first != 40 {
-		t.Fatalf("%d passed of a full part, want 40", first)
+		t.Fatalf("%d admitted with a full share, want 40", first)
 	}
 	now += 40 * time.Second
 	submitRequest(g, rec, now, choice.Request{ID: 9999, Customer: 2, SetSize: 1}, -1)
 	if later := countAdmitted(); later > 20 {
-		t.Errorf("%d passed 40 s later, want the 20 that have filled", later)
+		t.Errorf("%d admitted 40 s later, want at most the 20 units refilled", later)
 	}
 }
 
-// A request in a customer's name that names another plan, by mistake or by
-// malice, must not clear what is known of him.
+// A request that names another plan for a customer, by mistake or on purpose, must not reset the customer's
+// record, which holds its share of the ceiling.
 func TestOtherPlanDoesNotResetCustomer(t *testing.T) {
 	cfg := baseConfig()
 	cfg.Plans = []choice.Plan{
 		{Rate: 100, Burst: 100, CeilingRate: 0.5, CeilingBurst: 40, Price: 1}, {Rate: 100, Burst: 100, Price: 1}}
 	g, rec := newTestGateway(t, cfg, newBackends(4))
-	now, admitted := 200*time.Second, 0 // the ceiling's part of 40 has filled
+	now, admitted := 200*time.Second, 0 // the ceiling's share of 40 units is full
 	for id := range uint32(60) {
 		submitRequest(g, rec, now, choice.Request{ID: 1000 + id, Customer: 1, Plan: 1, SetSize: 1}, -1)
 		if submitRequest(g, rec, now, choice.Request{ID: id, Customer: 1, SetSize: 1}, -1) {
@@ -526,12 +531,12 @@
 		}
 	}
 	if admitted != 40 {
-		t.Errorf("%d passed beside another plan's requests, want the part of 40", admitted)
+		t.Errorf("%d admitted along with requests under another plan, want the share of 40", admitted)
 	}
 }
 
-// Before any latency is learned, many gateways must not let out more together
-// than the fleet works well with.
+// Before any latency is known, many gateways together must not have more attempts in flight than the backends
+// serve well.
 func TestInitialConcurrencyLimitIsShared(t *testing.T) {
 	for _, tier := range []struct {
 		gateways         int
@@ -539,11 +544,11 @@
 		overuseCost      float64
 		minSent, maxSent int
 	}{
-		{4, 12, 1, 15, 19}, // even parts of five a backend, and chance arrivals' slack
+		{4, 12, 1, 15, 19}, // the even share of five for each backend, and slack for random arrivals
 		{4, 12, 0, 15, 19},
 		{10, 20, 1, 10, 17},
-		{80, 60, 1, 4, 7},   // an even part of four
-		{80, 60, 0, 20, 26}, // which the busy one of eighty needs more than once
+		{80, 60, 1, 4, 7},   // an even share of about four
+		{80, 60, 0, 20, 26}, // overuse costs nothing: a busy gateway of 80 may use a multiple of its share
 	} {
 		cfg := baseConfig()
 		cfg.Gateways, cfg.Plans[0].OveruseCost = tier.gateways, tier.overuseCost
@@ -552,14 +557,14 @@
 			g.Request(0, choice.Request{ID: i + 1, Customer: uint64(i), SetSize: 1, Units: 1, TimeLeft: time.Second})
 		}
 		if n := len(rec.sent); n < tier.minSent || n > tier.maxSent {
-			t.Errorf("%d let out by one of %d gateways to %d backends, overuse at %v, want %d to %d",
+			t.Errorf("%d sent by one of %d gateways to %d backends at overuse cost %v, want %d to %d",
 				n, tier.gateways, tier.backends, tier.overuseCost, tier.minSent, tier.maxSent)
 		}
 	}
 }
 
-// Probes keep to a share of the requests, whatever the number of gateways and
-// backends: at 400 gateways a fixed pace would outnumber the requests.
+// The probe rate is proportional to the requests, whatever the number of gateways and backends: with 400
+// gateways, probes at a fixed interval would outnumber the requests.
 func TestProbeRateIsProportionalToRequests(t *testing.T) {
 	cfg := baseConfig()
 	cfg.Gateways, cfg.Probing, cfg.ReportFields = 400, true, []string{"inflight"}
@@ -575,12 +580,12 @@
 		seen[b] = true
 	}
 	if len(seen) != len(rec.probed) {
-		t.Errorf("%d probes met %d of 87 backends, want each in turn", len(rec.probed), len(seen))
+		t.Errorf("%d probes reached %d of 87 backends, want a different one each", len(rec.probed), len(seen))
 	}
 }
 
-// Gateways with nothing out know nothing of each other's picks: they must not
-// all find the same backend best, whatever its size, zone or place in the list.
+// Gateways without attempts in flight know nothing of each other's picks. They must not all pick the same
+// backend (herding), whatever its weight, zone or position in the list.
 func TestManyGatewaysPickDifferentBackends(t *testing.T) {
 	cfg := baseConfig()
 	cfg.Gateways, cfg.CrossZoneCost, cfg.WeightsTrusted = 400, 0.02, true
@@ -593,22 +598,22 @@
 		cfg.Self = self
 		g, rec := newTestGateway(t, cfg, list)
 		submitRequest(g, rec, 0, choice.Request{ID: 1, Customer: 1, SetSize: 1}, -1)
-		if sentTo := rec.sent[1]; len(sentTo) > 0 { // the window lets out a part of an attempt, by chance
+		if sentTo := rec.sent[1]; len(sentTo) > 0 { // a concurrency limit below 1 admits at random
 			firstPicks[sentTo[0]]++
 			sent++
 		}
 	}
 	if sent < 200 {
-		t.Errorf("%d of 400 first requests sent on, want most", sent)
+		t.Errorf("%d of 400 first requests sent, want at least 200", sent)
 	}
 	for id := uint32(1); id <= 20; id++ {
 		if n := firstPicks[id]; n > 60 {
-			t.Errorf("backend %d picked by %d of 400 gateways, want about 20 and never three times that", id, n)
+			t.Errorf("backend %d picked by %d of 400 gateways, want about 20 and at most 60", id, n)
 		}
 	}
 }
 
-// A backend that is gone with nothing out is forgotten.
+// The record of a removed backend without attempts in flight is dropped.
 func TestRemovedBackendIsDropped(t *testing.T) {
 	g, rec := newTestGateway(t, baseConfig(), newBackends(2))
 	g.UpdateBackends(time.Second, choice.Full, newBackends(1))
@@ -617,16 +622,16 @@
 	}
 	for id, sentTo := range rec.sent {
 		if slices.Contains(sentTo, 2) {
-			t.Errorf("request %d went to the backend that is gone", id)
+			t.Errorf("request %d was sent to the removed backend", id)
 		}
 	}
 	if n := choice.KnownBackends(g); n != 1 {
-		t.Errorf("%d backends are kept, want 1", n)
+		t.Errorf("%d backends have a record, want 1", n)
 	}
 }
 
-// A client's repeat says that another gateway refused it: where a customer is
-// not yet measured, repeats pass less often than first tries.
+// A client's retry indicates that another gateway refused the customer. For customers without a reading,
+// retries must be admitted less often than first requests.
 func TestClientRetryOfUnmeasuredCustomerIsLessLikely(t *testing.T) {
 	cfg := baseConfig()
 	cfg.Gateways = 40
@@ -640,12 +645,13 @@
 		}
 	}
 	if admitted[false] < 190 || admitted[true] > admitted[false]*3/4 {
-		t.Errorf("%d first tries and %d repeats passed of 200 each, want nearly all and far fewer", admitted[false], admitted[true])
+		t.Errorf("%d first requests and %d retries admitted of 200 each, want at least 190 and at most 3/4 of that",
+			admitted[false], admitted[true])
 	}
 }
 
-// A gateway of sixty expects a fraction of a unit a second of a customer: one
-// request is then no sign of a surge, and must not halve the chance of the next.
+// One of 60 gateways expects a fraction of a unit a second of a customer. A single request must then not count
+// as a surge and halve the admission probability of the next.
 func TestSingleRequestIsNotASurge(t *testing.T) {
 	cfg := baseConfig()
 	cfg.Gateways, cfg.MaxUnits, cfg.MeterPeriod = 60, 2, time.Second
@@ -658,7 +664,7 @@
 			t.Fatal(err)
 		}
 		g.UpdateBackends(0, choice.Cached, newBackends(60))
-		for i, now := range []time.Duration{0, 4 * time.Second, 4300 * ms} { // use at 8 in 10 of the quota
+		for i, now := range []time.Duration{0, 4 * time.Second, 4300 * ms} { // readings of 80% of the quota
 			ok := submitRequest(g, rec, now, choice.Request{ID: uint32(i + 1), Customer: 1, SetSize: 60, Units: 2}, 0.8)
 			if i == 2 {
 				total++
@@ -669,12 +675,12 @@
 		}
 	}
 	if admitted < 55 {
-		t.Errorf("%d of %d pass right behind another request, want most", admitted, total)
+		t.Errorf("%d of %d admitted right after another request, want at least 55", admitted, total)
 	}
 }
 
-// One of sixty gateways hears of a customer for the first time, and that he uses
-// more than his quota: the others refuse him already, and he asks for far more.
+// If the first reading that one of 60 gateways receives of a customer is above the quota, other gateways
+// already refuse the customer, so the offered rate is far higher than the reading.
 func TestFirstReadingAboveQuotaIndicatesOveruse(t *testing.T) {
 	countAdmitted := func(gateways int, reading float64) (admitted int) {
 		cfg := baseConfig()
@@ -695,15 +701,15 @@
 		return
 	}
 	if n := countAdmitted(60, 1.2); n > 130 {
-		t.Errorf("%d of 200 pass after a first reading of 120 percent, want far fewer than all", n)
+		t.Errorf("%d of 200 admitted after a first reading of 120%% of the quota, want at most 130", n)
 	}
 	if n := countAdmitted(60, 0.5); n < 190 {
-		t.Errorf("%d of 200 pass after a first reading of half the quota, want nearly all", n)
+		t.Errorf("%d of 200 admitted after a first reading of half the quota, want at least 190", n)
 	}
 }
 
-// One of a hundred gateways is asked again and again by a customer that it has
-// not measured: no reading tells, its own arrivals must.
+// A customer without a reading sends a spike to one of 100 gateways. The gateway must limit it by its own count
+// of the requests.
 func TestSpikeOfUnmeasuredCustomerIsLimited(t *testing.T) {
 	cfg := baseConfig()
 	cfg.Gateways = 100
@@ -715,12 +721,13 @@
 		}
 	}
 	if admitted < 1 || admitted > 12 {
-		t.Errorf("%d of 100 in a second passed at one of 100 gateways of a quota of 10 a second, want a few", admitted)
+		t.Errorf("%d of 100 in a second admitted by one of 100 gateways with a quota of 10 a second, want 1 to 12",
+			admitted)
 	}
 }
 
-// Without a meter a gateway estimates the offered rate from what is asked there. All together thin out a
-// customer who asks for many times his quota, and hardly touch one who keeps to it.
+// Without a meter, each gateway estimates the offered rate from its own requests. All gateways together must
+// limit a customer that requests several times its quota, and hardly refuse one that stays within it.
 func TestQuotaIsEnforcedWithoutMeter(t *testing.T) {
 	const gatewayCount, rate, duration, warmUp = 100, 2.0, 60 * time.Second, 20 * time.Second
 	admittedShare := func(useRatio float64) (share float64) {
@@ -756,15 +763,15 @@
 		return admitted / requested
 	}
 	if share := admittedShare(0.3); share < 0.9 {
-		t.Errorf("of a customer's requests inside his quota %.2f pass", share)
+		t.Errorf("share of %.2f admitted at 0.3 of the quota, want at least 0.9", share)
 	}
-	if share := admittedShare(5); share > 0.8 { // each sees but one request in ten seconds
-		t.Errorf("of five times a quota %.2f pass", share)
+	if share := admittedShare(5); share > 0.8 { // each gateway receives only one request in 10 s
+		t.Errorf("share of %.2f admitted at five times the quota, want at most 0.8", share)
 	}
 }
 
-// A reading far over the quota is half a minute old and nothing was asked here
-// since: it must not refuse the customer for ever.
+// Readings above the quota that are 30 s old, with no request since then, must not make the gateway refuse the
+// customer for good.
 func TestOutdatedReadingDoesNotBlockCustomer(t *testing.T) {
 	cfg := baseConfig()
 	cfg.Gateways = 100
@@ -782,11 +789,11 @@
 		}
 	}
 	if admitted < 15 {
-		t.Errorf("%d of 40 passed half a minute after readings of 1.5 quotas, want the chance alone to decide", admitted)
+		t.Errorf("%d of 40 admitted 30 s after readings of 1.5 times the quota, want at least 15", admitted)
 	}
 }
 
-// Readings and units that are no amounts leave no trace: the customer goes on as if they had not come.
+// An invalid reading must have no effect on later decisions, and a request of invalid units must be refused.
 func TestInvalidReadingsAndUnits(t *testing.T) {
 	for _, invalid := range []float64{math.NaN(), math.Inf(1), -1} {
 		logs := [2][]string{}
@@ -807,17 +814,17 @@
 			logs[i] = rec.actions
 			g.Request(6*time.Second, choice.Request{ID: 1000, SetSize: 1, Units: invalid, TimeLeft: time.Second})
 			if !rec.refused[1000] {
-				t.Errorf("a request of %v units was not refused at once", invalid)
+				t.Errorf("a request of %v units was not refused", invalid)
 			}
 		}
 		if !reflect.DeepEqual(logs[0], logs[1]) {
-			t.Errorf("a reading of %v changed what followed", invalid)
+			t.Errorf("a reading of %v changed later decisions", invalid)
 		}
 	}
 }
 
-// Where fresh connections cost, picks prefer backends to which one is kept, as
-// long as those are not busier; a connection idle for too long counts no more.
+// If handshakes have a cost, picks prefer backends with a reusable connection, as long as those are not busier.
+// A connection that has been idle for too long does not count.
 func TestPicksPreferReusableConnections(t *testing.T) {
 	countBackends := func(cost float64, interval time.Duration) int {
 		cfg := baseConfig()
@@ -829,7 +836,7 @@
 			g.Request(now, choice.Request{ID: i + 1, Customer: uint64(i), SetSize: 1, Units: 1, TimeLeft: time.Second})
 			for _, b := range rec.sent[i+1] {
 				used[b] = true
-				// As slow as is taken for usual at the start, so that latency speaks for no backend.
+				// A quarter of the aim is the initial mean latency, so that latency favours no backend.
 				g.Outcome(now, choice.Outcome{ID: i + 1, Backend: b, Status: choice.OK, Elapsed: 100 * ms, Answered: true})
 			}
 		}
@@ -837,15 +844,16 @@
 	}
 	free, costly, idle := countBackends(0, 50*ms), countBackends(0.08, 50*ms), countBackends(0.08, 6*time.Second)
 	if costly > free*2/3 {
-		t.Errorf("60 requests one by one open connections to %d backends, %d if that costs nothing; want far fewer", costly, free)
+		t.Errorf("60 requests in sequence use %d backends, %d without a handshake cost; want at most 2/3 of that",
+			costly, free)
 	}
 	if idle < free*5/6 {
-		t.Errorf("with connections idle for too long %d backends are used, want about %d", idle, free)
+		t.Errorf("with connections idle for too long %d backends are used, want about %d as without a cost", idle, free)
 	}
 }
 
-// Neither a repeat nor a second copy begins for a client that has gone, however
-// what was out for it ends.
+// After a client has disconnected, its request is neither retried nor hedged, whatever the status of the
+// attempts in flight.
 func TestNoFurtherAttemptsAfterClientDisconnect(t *testing.T) {
 	for _, status := range []choice.Status{choice.Error, choice.Refused, choice.Timeout, choice.ConnectFailed, choice.Reset, choice.Cancelled, choice.CancelledBeforeSend} {
 		for _, disconnected := range []bool{false, true} {
@@ -859,22 +867,23 @@
 				g.ClientDisconnected(ms, 1)
 				g.ClientDisconnected(ms, 2)
 			}
-			// The first is due for a second copy, the attempt of the other ends.
+			// The hedge delay of request 1 expires, and the attempt of request 2 ends.
 			g.TimerExpired(300*ms, 1<<8|1)
 			g.Outcome(300*ms, choice.Outcome{ID: 2, Backend: rec.sent[2][0], Status: status, Answered: disconnected})
 			hedges, retries := len(rec.sent[1])-1, len(rec.sent[2])-1
 			if disconnected && (hedges > 0 || retries > 0) {
-				t.Errorf("status %d: %d second copies and %d repeats for clients that are gone", status, hedges, retries)
+				t.Errorf("status %d: %d hedges and %d retries for disconnected clients, want none", status, hedges, retries)
 			}
 			if wantRetry := status != choice.CancelledBeforeSend; !disconnected && (hedges != 1 || (retries == 1) != wantRetry) {
-				t.Errorf("status %d: %d second copies and %d repeats for clients that wait", status, hedges, retries)
+				t.Errorf("status %d: %d hedges and %d retries for waiting clients, want a hedge and a safe retry",
+					status, hedges, retries)
 			}
 		}
 	}
 }
 
-// The store that the meter shows bounds a customer as far as use beyond the
-// quota costs. Where it costs nothing, the one chance decides alone.
+// An empty token bucket, by the meter's readings, limits a customer in proportion to the plan's overuse cost.
+// If overuse costs nothing, the admission probability alone decides.
 func TestEmptyTokenBucketLimitsByOveruseCost(t *testing.T) {
 	const customers = 400
 	for _, c := range []struct {
@@ -886,7 +895,7 @@
 		g, rec := newTestGateway(t, cfg, newBackends(1000))
 		id, admitted := uint32(0), 0
 		for customer := range uint64(customers) {
-			// Two readings of twice the quota: the store is empty, the chance a half.
+			// Two readings of twice the quota: the bucket is empty, the admission probability 0.5.
 			now := time.Duration(customer) * 3 * time.Second
 			for range 2 {
 				id++
@@ -899,14 +908,14 @@
 			}
 		}
 		if admitted < c.minAdmitted || admitted > c.maxAdmitted {
-			t.Errorf("overuse at %v: %d of %d pass an empty store at twice the quota, want %d to %d", c.cost, admitted, customers, c.minAdmitted, c.maxAdmitted)
+			t.Errorf("overuse cost %v: %d of %d admitted with an empty bucket at twice the quota, want %d to %d",
+				c.cost, admitted, customers, c.minAdmitted, c.maxAdmitted)
 		}
 	}
 }
 
-// At one of many gateways a few backends taken by chance hardly ever hold a
-// kept connection. Where handshakes cost, one that does is looked at as well;
-// all gateways together still spread their requests.
+// With many gateways, a few random backends hardly ever include one with a reusable connection. If handshakes
+// have a cost, such a backend is therefore considered too. The load of all gateways must still be even.
 func TestReusableConnectionsAreFoundAmongManyBackends(t *testing.T) {
 	const gateways, backendCount, requests = 120, 200, 200
 	for _, cost := range []float64{0, 0.08} {
@@ -945,18 +954,21 @@
 			sent += n
 			maxLoad = max(maxLoad, n)
 		}
-		t.Logf("handshakes at %v: %d sent, %d on fresh connections, %d to the busiest backend", cost, sent, newConnections, maxLoad)
+		t.Logf("handshake cost %v: %d sent, %d on new connections, %d to the busiest backend",
+			cost, sent, newConnections, maxLoad)
 		if cost > 0 && newConnections > sent/4 {
-			t.Errorf("handshakes at %v: %d of %d go on fresh connections, want a quarter at most", cost, newConnections, sent)
+			t.Errorf("handshake cost %v: %d of %d sent on new connections, want at most a quarter",
+				cost, newConnections, sent)
 		}
 		if maxLoad > 2*sent/backendCount {
-			t.Errorf("handshakes at %v: the busiest backend gets %d of %d, want twice the mean at most", cost, maxLoad, sent)
+			t.Errorf("handshake cost %v: the busiest backend gets %d of %d, want at most twice the mean",
+				cost, maxLoad, sent)
 		}
 	}
 }
 
-// A repeat of a guarded request may have to wait for its connection as long as
-// the settings let it, and has to begin within the window even then.
+// A retry of a guarded request may have to wait for its connection for Config.ConnectTimeout. Even then it must
+// start within the deduplication window.
 func TestRetryStartsWithinDedupWindow(t *testing.T) {
 	for _, c := range []struct {
 		endedAt time.Duration
@@ -969,7 +981,8 @@
 		g.Request(0, choice.Request{ID: 1, Customer: 1, SetSize: 1, Units: 1, TimeLeft: 2 * time.Second})
 		g.Outcome(c.endedAt, choice.Outcome{ID: 1, Backend: rec.sent[1][0], Status: choice.Reset, Elapsed: c.endedAt})
 		if retried := len(rec.sent[1]) == 2; retried != c.retry || rec.refused[1] == c.retry {
-			t.Errorf("reset after %v of a window of 1s: repeated %v, refused %v; want it repeated: %v", c.endedAt, retried, rec.refused[1], c.retry)
+			t.Errorf("reset after %v of a window of 1s: retried %t, refused %t; want a retry: %t",
+				c.endedAt, retried, rec.refused[1], c.retry)
 		}
 	}
 }
--- a/choice/cold_test.go
+++ b/choice/cold_test.go
@@ -10,25 +10,27 @@
 	"cedarseam/choice"
 )
 
-// coldSimulation is the actions of one of many gateways that send to the same backends.
+// coldSimulation simulates gateways that send to the same backends.
 type coldSimulation struct {
 	now     time.Duration
-	sent    map[uint32][]time.Duration // by backend
+	sent    map[uint32][]time.Duration // times of the sends, by backend
 	answers []coldAnswer
 }
 
+// coldGateway is a gateway of the simulation and its Actions.
 type coldGateway struct {
 	sim     *coldSimulation
 	gateway *choice.Gateway
 }
 
+// coldAnswer is the answer to an attempt.
 type coldAnswer struct {
 	at, sentAt time.Duration
 	gateway    *coldGateway
 	outcome    choice.Outcome
 }
 
-// latency of a warm backend: the fleet gets slow just before some start anew.
+// latency returns the latency of all backends. They become slow just before some of them restart.
 func (s *coldSimulation) latency() time.Duration {
 	if s.now < 9*time.Second {
 		return 60 * ms
@@ -48,15 +50,15 @@
 func (g *coldGateway) Probe(uint32)                                {}
 func (g *coldGateway) SetTimer(time.Duration, uint64)              {}
 
-// Backends start anew while the whole fleet has got slow, so that each gateway
-// finds them the cheapest. All gateways together keep to the budget of each,
-// with no more than 2 roots of it and 2 for chance, however many they are.
+// Some backends restart while all others are slow, so that each gateway finds them the cheapest. All gateways
+// together, however many, must not send a cold backend more than its budget, the number of requests that would
+// overload it. Two standard deviations of the budget, and two requests, are allowed for random arrivals.
 func TestColdBackendsAreNotOverloaded(t *testing.T) {
 	const (
 		backendCount = 100
 		restarted    = 10
 		backendRate  = 25.0 // requests a second for each backend
-		warmCapacity = 30.0 // what a warm one can do
+		warmCapacity = 30.0 // requests a second that a warm backend can serve
 		restartAt    = 10 * time.Second
 		duration     = 16 * time.Second
 	)
@@ -125,21 +127,22 @@
 					inWindow := i - first + 1
 					maxInWindow = max(maxInWindow, inWindow)
 					if float64(inWindow) > budget+2*math.Sqrt(budget)+2 {
-						t.Fatalf("backend %d was sent %d in %v, %v after its start; its budget is %.0f", b.ID, inWindow, cfg.ColdOverloadPeriod, sends[i]-restartAt, budget)
+						t.Fatalf("backend %d was sent %d in %v, %v after its start; its budget is %.0f",
+							b.ID, inWindow, cfg.ColdOverloadPeriod, sends[i]-restartAt, budget)
 					}
 				}
 			}
-			t.Logf("%d of %d sent, %d in the fullest window", sent, requested, maxInWindow)
+			t.Logf("%d of %d sent, at most %d to a cold backend within a window", sent, requested, maxInWindow)
 			if sent < requested/2 || maxInWindow < 4 {
-				t.Errorf("%d of %d sent, at most %d in a window to a cold one: no load worth the name", sent, requested, maxInWindow)
+				t.Errorf("%d of %d sent, at most %d to a cold backend within a window; want at least half and 4",
+					sent, requested, maxInWindow)
 			}
 		})
 	}
 }
 
-// All warm backends have got slow when one starts anew: at every gateway at
-// once it is the cheapest, with nothing out. It must not get what all of them
-// would send.
+// One backend restarts when all others are slow: all gateways find it the cheapest at the same moment, since it
+// has no attempts in flight. It must not receive the requests of all of them.
 func TestCheapestColdBackendIsNotOverloaded(t *testing.T) {
 	const backendCount, requests, warmCapacity = 20, 2100, 40.0
 	for _, gateways := range []int{30, 350} {
@@ -167,10 +170,10 @@
 					g.Outcome(now+latency, choice.Outcome{ID: id, Backend: backend, Status: choice.OK, Elapsed: latency, Answered: true})
 					return backend
 				}
-				measured, now := map[uint32]bool{}, 30*time.Second // long since any answer: one tells all
+				measured, now := map[uint32]bool{}, 30*time.Second // after a long pause, a single answer sets the latency
 				for ; len(measured) < backendCount; now += time.Second {
 					if measured[request(now, 900*ms)] = true; now > 5*time.Minute {
-						t.Fatalf("gateway %d has tried %d of %d backends", self, len(measured), backendCount)
+						t.Fatalf("gateway %d has measured %d of %d backends, want all", self, len(measured), backendCount)
 					}
 					delete(measured, 0)
 				}
@@ -186,7 +189,7 @@
 			capacityFraction := cfg.InitialCapacity + (1-cfg.InitialCapacity)*0.5/cfg.WarmUpPeriod.Seconds()
 			budget := cfg.ColdOverloadFactor * capacityFraction * warmCapacity * cfg.ColdOverloadPeriod.Seconds()
 			if coldSends == 0 || float64(coldSends) > budget+2*math.Sqrt(budget)+2 {
-				t.Errorf("the cold one was sent %d at once, its budget is %.0f", coldSends, budget)
+				t.Errorf("the cold backend was sent %d at once, want at least 1 and about %.0f at most", coldSends, budget)
 			}
 		})
 	}
--- a/choice/example_test.go
+++ b/choice/example_test.go
@@ -7,8 +7,8 @@
 	"cedarseam/choice"
 )
 
-// A printer is the least Actions: a gateway would start the attempt, write the
-// answer or set the timer.
+// printer is a minimal Actions that prints the decisions. A real one starts attempts, answers clients and sets
+// timers.
 type printer struct{}
 
 func (printer) Send(id, backend uint32, timeout time.Duration) {
--- a/choice/limits_test.go
+++ b/choice/limits_test.go
@@ -10,12 +10,12 @@
 )
 
 const (
-	maxFileLines = 400 // lines of a file of decisions, blank ones not counted
-	maxLineWidth = 110 // characters, a tab counted as four
+	maxFileLines = 400 // non-blank lines
+	maxLineWidth = 110 // characters; a tab counts as four
 )
 
-// Each decision is read on call, so its file stays small enough to be read at
-// once, and the deploy file names every one that holds decisions.
+// Source files stay short, since engineers on call read them, and deploy/balancer.toml lists every file that
+// contains decisions.
 func TestSourceFilesAreShortAndListed(t *testing.T) {
 	deploy, err := os.ReadFile("../deploy/balancer.toml")
 	if err != nil {
@@ -31,7 +31,7 @@
 			continue
 		}
 		if name != "api.go" && !strings.Contains(string(policy), `"choice/`+name+`"`) {
-			t.Errorf("%s is not in the deploy file's policy", name)
+			t.Errorf("%s is not listed as policy in deploy/balancer.toml", name)
 		}
 		checkFile(t, name)
 	}
@@ -53,6 +53,6 @@
 		}
 	}
 	if lines > maxFileLines {
-		t.Errorf("%s holds %d lines, want at most %d", name, lines, maxFileLines)
+		t.Errorf("%s has %d non-blank lines, want at most %d", name, lines, maxFileLines)
 	}
 }
--- a/choice/membership_test.go
+++ b/choice/membership_test.go
@@ -10,18 +10,18 @@
 	"cedarseam/choice"
 )
 
-// drawBackend draws one line of a list of few backends.
+// drawBackend draws an entry of a list of eight backends.
 func drawBackend(t *rapid.T) choice.Backend {
 	b := choice.Backend{ID: uint32(rapid.IntRange(1, 8).Draw(t, "id")), Weight: rapid.SampledFrom([]float64{0.5, 1, 1.7}).Draw(t, "weight"),
 		State: rapid.SampledFrom([]choice.State{choice.Ready, choice.Ready, choice.Draining, choice.Removed}).Draw(t, "state")}
-	if rapid.IntRange(0, 3).Draw(t, "dated") == 0 {
+	if rapid.IntRange(0, 3).Draw(t, "start known") == 0 {
 		b.StartKnown, b.Started = true, time.Duration(rapid.IntRange(0, 2).Draw(t, "start"))*time.Second
 	}
 	return b
 }
 
-// What is counted of the fleet is what a walk over it finds, whatever lists,
-// failures, ejections and ends of attempts come in whatever order.
+// The sets and running totals of the backends must equal what a walk over all backends finds, after any sequence
+// of lists, requests, outcomes and ejections.
 func TestBackendSetsMatchAllBackends(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rec := &lastSendRecorder{}
@@ -67,8 +67,8 @@
 	})
 }
 
-// The backends that a complete list leaves out go in an order of the gateway's
-// own: the same seed and events give the same actions.
+// The removal of backends that a full list does not contain must not depend on the order of a map: the same
+// seed and events must give the same actions.
 func TestFullListIsAppliedDeterministically(t *testing.T) {
 	run := func() []string {
 		rec := newRecorder()
@@ -86,13 +86,13 @@
 	first := run()
 	for range 20 {
 		if again := run(); !slices.Equal(first, again) {
-			t.Fatalf("the actions are\n%v\nand\n%v", first, again)
+			t.Fatalf("the same events gave the actions\n%v\nand\n%v", first, again)
 		}
 	}
 }
 
-// Customers who have been idle for long are forgotten a few at a time, however
-// many they are, but for those whose attempts are still out.
+// Idle customers are evicted in small batches, however many there are, so that no single event takes long. A
+// customer with an attempt in flight is not evicted.
 func TestIdleCustomersAreEvictedInSmallBatches(t *testing.T) {
 	const customerCount, maxEvicted = 1000, 20
 	rec := &lastSendRecorder{}
@@ -111,29 +111,30 @@
 	}
 	now, known := time.Duration(0), choice.KnownCustomers(g)
 	if known != customerCount {
-		t.Fatalf("%d customers are known, want %d", known, customerCount)
+		t.Fatalf("%d customers have a record, want %d", known, customerCount)
 	}
 	for events := 0; known > 1; events++ {
 		now += time.Minute
 		g.TimerExpired(now, 0)
 		if remaining := choice.KnownCustomers(g); remaining < known-maxEvicted || events > customerCount {
-			t.Fatalf("event %d leaves %d customers of %d, want at most %d less", events, remaining, known, maxEvicted)
+			t.Fatalf("event %d leaves %d customers of %d, want at most %d evicted at an event",
+				events, remaining, known, maxEvicted)
 		} else {
 			known = remaining
 		}
 	}
 	g.TimerExpired(now+time.Hour, 0)
 	if choice.KnownCustomers(g) != 1 {
-		t.Error("a customer whose attempt is out is forgotten")
+		t.Error("a customer with an attempt in flight was evicted")
 	}
 	g.Outcome(now+time.Hour, choice.Outcome{ID: 500, Backend: rec.backend, Elapsed: ms, Answered: true})
 	if g.TimerExpired(now+2*time.Hour, 0); choice.KnownCustomers(g) != 0 {
-		t.Error("he is not forgotten once it has ended")
+		t.Error("the customer was not evicted after its attempt had ended")
 	}
 }
 
-// Whoever makes names up fills no memory: as many customers are known as may be,
-// and those with attempts out besides.
+// A client that invents customer ids must not fill the memory: Config.MaxCustomers limits the records, apart
+// from those of customers with attempts in flight.
 func TestCustomerRecordsAreLimited(t *testing.T) {
 	const limit = 50
 	cfg := baseConfig()
@@ -144,7 +145,7 @@
 	for id := uint32(1); id <= 2000; id++ {
 		now := time.Duration(id) * ms
 		r := choice.Request{ID: id, Customer: uint64(id), Plan: int(id % 2), SetSize: 1, Units: 1, TimeLeft: time.Hour}
-		if id%20 == 0 { // its attempt stays out
+		if id%20 == 0 { // its attempt stays in flight
 			if g.Request(now, r); len(rec.sent[id]) > 0 {
 				inFlight++
 			}
@@ -152,22 +153,24 @@
 		}
 		submitRequest(g, rec, now, r, -1)
 		if n := choice.KnownCustomers(g); n > limit+inFlight {
-			t.Fatalf("%d customers are known with attempts of %d out, want %d and these at most", n, inFlight, limit)
+			t.Fatalf("%d customers have a record, %d of them with attempts in flight; want at most %d others",
+				n, inFlight, limit)
 		}
 	}
 	if n := choice.KnownCustomers(g); inFlight < 10 || n < limit {
-		t.Errorf("%d customers are known with attempts of %d out, want %d at least and 10", n, inFlight, limit)
+		t.Errorf("%d customers have a record and %d attempts are in flight, want at least %d and 10",
+			n, inFlight, limit)
 	}
 }
 
-// A customer whose part of a ceiling is drawn does not get it afresh by being
-// crowded out.
+// A customer that has drawn its share of a ceiling must not get a full share again because its record was evicted
+// for other customers and created anew.
 func TestEvictedCustomerGetsNoFullCeiling(t *testing.T) {
 	cfg := baseConfig()
 	cfg.Gateways, cfg.MaxCustomers = 1, 20
 	cfg.Plans[0] = choice.Plan{Rate: 100, Burst: 100, CeilingRate: 0.5, CeilingBurst: 40, Price: 1}
 	g, rec := newTestGateway(t, cfg, newBackends(4))
-	now, id := 200*time.Second, uint32(0) // the part of 40 has filled
+	now, id := 200*time.Second, uint32(0) // the share of 40 units is full
 	countAdmitted := func(customer uint64, requests int) (n int) {
 		for range requests {
 			id++
@@ -178,22 +181,22 @@
 		return n
 	}
 	if first := countAdmitted(1, 60); first != 40 {
-		t.Fatalf("%d passed of a full part, want 40", first)
+		t.Fatalf("%d admitted with a full share, want 40", first)
 	}
 	for other := uint64(2); other < 40; other++ {
 		now += ms
 		countAdmitted(other, 1)
 	}
 	if again := countAdmitted(1, 60); again > 0 {
-		t.Errorf("%d passed after he was crowded out, want none", again)
+		t.Errorf("%d admitted after the eviction, want none", again)
 	}
 	now += 20 * time.Second
 	if later := countAdmitted(1, 60); later > 10 {
-		t.Errorf("%d passed 20 s later, want the 10 that have filled at most", later)
+		t.Errorf("%d admitted 20 s later, want at most the 10 units refilled", later)
 	}
 }
 
-// BenchmarkUpdateBackends measures one change, and a complete list, by the size of the fleet.
+// BenchmarkUpdateBackends measures a delta of one entry, and a full list, by the number of backends.
 func BenchmarkUpdateBackends(b *testing.B) {
 	for name, size := range map[string]uint32{"1500": 1500, "12000": 12_000, "24000": 24_000} {
 		list := newBackends(size)
