--- a/choice/choice_test.go
+++ b/choice/choice_test.go
@@ -430,8 +430,9 @@
 		g, rec := newTestGateway(t, cfg, newBackends(4))
 		g.Request(0, choice.Request{ID: 1, Class: c.class, Customer: 1, SetSize: 1, Units: 1, TimeLeft: time.Second})
 		g.Outcome(10*ms, choice.Outcome{ID: 1, Backend: rec.sent[1][0], Status: c.status, Elapsed: 10 * ms})
-		if again := len(rec.sent[1]) == 2; again != c.retried || rec.failed[1] != c.failed {
-			t.Errorf("class %d after %d: sent again %v, failed %v", c.class, c.status, again, rec.failed[1])
+		if retried := len(rec.sent[1]) == 2; retried != c.retried || rec.failed[1] != c.failed {
+			t.Errorf("class %d after status %d: got retried %t, failed %t, which is not as wanted",
+				c.class, c.status, retried, rec.failed[1])
 		}
 		if c.retried && rec.sent[1][0] == rec.sent[1][1] {
 			t.Errorf("class %d after status %d: retried at the same backend, want another", c.class, c.status)
--- a/choice/membership_test.go
+++ b/choice/membership_test.go
@@ -209,7 +209,7 @@
 			b.ReportAllocs()
 			return g
 		}
-		b.Run("change/"+name, func(b *testing.B) {
+		b.Run("delta/"+name, func(b *testing.B) {
 			g := newGateway(b)
 			states := []choice.State{choice.Draining, choice.Ready}
 			for i := 0; b.Loop(); i++ {
@@ -218,7 +218,7 @@
 				g.UpdateBackends(0, choice.Delta, []choice.Backend{entry})
 			}
 		})
-		b.Run("complete/"+name, func(b *testing.B) {
+		b.Run("full/"+name, func(b *testing.B) {
 			g := newGateway(b)
 			for b.Loop() {
 				g.UpdateBackends(0, choice.Full, list)
--- a/choice/rules_test.go
+++ b/choice/rules_test.go
@@ -15,13 +15,20 @@
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if flag.Lookup("rapid.seed").Value.String() == "0" {
-		flag.Set("rapid.seed", "20261128") // the same verdict at every run
+		flag.Set("rapid.seed", "20261128") // the same events in every run
 	}
 	os.Exit(m.Run())
 }
 
-// ruleChecker holds the five rules as an outsider sees them: it watches events and
-// actions and shares no code with the module.
+// ruleChecker checks five rules on the events and actions of several gateways. It shares no code with the
+// package. The rules are:
+//
+//  1. Each request has its final answer by its deadline, and nothing is sent for it afterwards.
+//  2. An attempt that may have run is repeated only as the effect of the class allows, no request has two
+//     attempts in flight unless hedging is on, and a refusal is given only if a retry by the client is safe.
+//  3. Nothing is sent to a draining or removed backend after Config.DrainGrace.
+//  4. A cold backend is not overloaded.
+//  5. First attempts stay within the ceiling of the customer's plan, over all gateways.
 type ruleChecker struct {
 	cfg        choice.Config
 	now        time.Duration
@@ -31,13 +38,15 @@
 	violations []string
 }
 
+// observedBackend is a backend as last listed.
 type observedBackend struct {
 	choice.Backend
 	excluded   bool
 	excludedAt time.Duration
-	sends      []time.Duration // sends since its last start
+	sends      []time.Duration // times of the sends since its last start
 }
 
+// observedRequest is a request and the attempts sent for it.
 type observedRequest struct {
 	choice.Request
 	gateway  int
@@ -52,6 +61,7 @@
 	inFlight, neverRan bool
 }
 
+// observedCeiling is the token bucket of a customer's ceiling.
 type observedCeiling struct {
 	tokens    float64
 	updatedAt time.Duration
@@ -95,18 +105,18 @@
 func (c *ruleChecker) send(id, backend uint32) {
 	r, b := c.requests[id], c.backends[backend]
 	if r == nil || r.ended {
-		c.reportViolation(1, "send for request %d that is over", id)
+		c.reportViolation(1, "send for request %d, which has its final answer", id)
 		return
 	}
 	if b.excluded && c.now > b.excludedAt+c.cfg.DrainGrace {
-		c.reportViolation(3, "send of request %d to backend %d, draining or gone", id, backend)
+		c.reportViolation(3, "request %d is sent to backend %d, which is draining or removed", id, backend)
 	}
 	class := c.cfg.Classes[r.Class]
 	var first *observedAttempt // the first attempt that may have run
 	for i := range r.attempts {
 		a := &r.attempts[i]
 		if a.inFlight && !c.cfg.Hedging {
-			c.reportViolation(2, "request %d has two attempts out", id)
+			c.reportViolation(2, "request %d has two attempts in flight", id)
 		}
 		if !a.neverRan && first == nil {
 			first = a
@@ -120,7 +130,7 @@
 			inGroup := class.Group == choice.GroupAll || class.Group == choice.GroupZone && first.backend.Zone == b.Zone ||
 				class.Group == choice.GroupCell && first.backend.Cell == b.Cell
 			if !inGroup || c.now-first.sentAt > class.DedupWindow {
-				c.reportViolation(2, "request %d is sent again outside its group or window", id)
+				c.reportViolation(2, "request %d is sent again outside its group or deduplication window", id)
 			}
 		}
 	}
@@ -135,7 +145,7 @@
 	r.attempts = append(r.attempts, observedAttempt{backend: b.Backend, sentAt: c.now, inFlight: true})
 }
 
-// drawCeiling takes a first attempt's units from the ceiling's one store.
+// drawCeiling draws the units of a first attempt from the ceiling's bucket, which all gateways share.
 func (c *ruleChecker) drawCeiling(r *observedRequest) {
 	plan := c.cfg.Plans[r.Plan]
 	if plan.CeilingRate == 0 {
@@ -149,11 +159,11 @@
 	ceiling.tokens = min(plan.CeilingBurst, ceiling.tokens+(c.now-ceiling.updatedAt).Seconds()*plan.CeilingRate) - r.Units
 	ceiling.updatedAt = c.now
 	if ceiling.tokens < -plan.CeilingTolerance-1e-6 {
-		c.reportViolation(5, "customer %d stands at %.2f of its ceiling", r.Customer, ceiling.tokens)
+		c.reportViolation(5, "customer %d has %.2f units left in its ceiling", r.Customer, ceiling.tokens)
 	}
 }
 
-// warmCapacity is what a warm backend of these tests can do, requests a second.
+// warmCapacity is the capacity of a warm backend in these tests, in requests a second.
 const warmCapacity = 40
 
 func (c *ruleChecker) checkColdLimit(b observedBackend, age time.Duration) {
@@ -165,7 +175,7 @@
 	}
 	capacityFraction := c.cfg.InitialCapacity + (1-c.cfg.InitialCapacity)*age.Seconds()/c.cfg.WarmUpPeriod.Seconds()
 	if limit := c.cfg.ColdOverloadFactor*capacityFraction*warmCapacity*c.cfg.ColdOverloadPeriod.Seconds() + 8; float64(sends) > limit {
-		c.reportViolation(4, "cold backend %d was sent %d in %v, more than %.0f", b.ID, sends, c.cfg.ColdOverloadPeriod, limit)
+		c.reportViolation(4, "cold backend %d was sent %d in %v, want at most %.0f", b.ID, sends, c.cfg.ColdOverloadPeriod, limit)
 	}
 }
 
@@ -191,18 +201,18 @@
 	r.ended = true
 }
 
-// advanceTo ends what is overdue.
+// advanceTo sets the time, and reports and closes overdue requests.
 func (c *ruleChecker) advanceTo(now time.Duration, slack time.Duration) {
 	c.now = now
 	for id, r := range c.requests {
 		if !r.ended && now > r.deadline+slack {
-			c.reportViolation(1, "request %d has no answer", id)
+			c.reportViolation(1, "request %d has no answer at its deadline", id)
 			r.ended = true
 		}
 	}
 }
 
-// Each rule is broken by hand; the checker must say so.
+// The checker must report events that violate a rule, for each of the rules.
 func TestRuleCheckerDetectsEachViolation(t *testing.T) {
 	cfg := ruleConfig(0)
 	ready := choice.Backend{ID: 1, Zone: 0, Cell: 0}
@@ -212,18 +222,18 @@
 		rule   string
 		events func(c *ruleChecker)
 	}{
-		{"lost", "rule 1", func(c *ruleChecker) { c.advanceTo(10*time.Second, 8*time.Millisecond) }},
-		{"sent after the end", "rule 1", func(c *ruleChecker) { c.refuse(1); c.send(1, 1) }},
-		{"single shot again", "rule 2", func(c *ruleChecker) { c.send(2, 1); c.outcome(2, 0, choice.Error, false); c.send(2, 2) }},
+		{"no answer", "rule 1", func(c *ruleChecker) { c.advanceTo(10*time.Second, 8*time.Millisecond) }},
+		{"sent after the answer", "rule 1", func(c *ruleChecker) { c.refuse(1); c.send(1, 1) }},
+		{"single shot repeated", "rule 2", func(c *ruleChecker) { c.send(2, 1); c.outcome(2, 0, choice.Error, false); c.send(2, 2) }},
 		{"single shot refused", "rule 2", func(c *ruleChecker) { c.send(2, 1); c.outcome(2, 0, choice.Timeout, false); c.refuse(2) }},
-		{"two out", "rule 2", func(c *ruleChecker) { c.cfg.Hedging = false; c.send(1, 1); c.send(1, 2) }},
+		{"two in flight", "rule 2", func(c *ruleChecker) { c.cfg.Hedging = false; c.send(1, 1); c.send(1, 2) }},
 		{"outside the group", "rule 2", func(c *ruleChecker) { c.send(3, 1); c.outcome(3, 0, choice.Reset, false); c.send(3, 2) }},
 		{"draining", "rule 3", func(c *ruleChecker) {
 			c.updateBackends(choice.Delta, []choice.Backend{{ID: 1, State: choice.Draining}})
 			c.now += time.Second
 			c.send(1, 1)
 		}},
-		{"left out of a full list", "rule 3", func(c *ruleChecker) {
+		{"not in a full list", "rule 3", func(c *ruleChecker) {
 			c.updateBackends(choice.Full, []choice.Backend{other})
 			c.now += time.Second
 			c.send(1, 1)
@@ -252,13 +262,13 @@
 			}
 			tc.events(c)
 			if len(c.violations) == 0 || c.violations[0][:6] != tc.rule {
-				t.Fatalf("checker said %q, want a breach of %s", c.violations, tc.rule)
+				t.Fatalf("checker reported %q, want a violation of %s", c.violations, tc.rule)
 			}
 		})
 	}
 }
 
-// ruleConfig gives one of several deployments of the tests' own.
+// ruleConfig returns one of five configurations for the checks of the rules.
 func ruleConfig(kind int) choice.Config {
 	cfg := choice.Config{
 		Gateways: 3, Tick: 2 * time.Millisecond, MeterPeriod: 500 * time.Millisecond, MaxUnits: 2,
@@ -287,7 +297,7 @@
 	return cfg
 }
 
-// eventDriver drives gateways with random but legal events and keeps the checker informed.
+// eventDriver drives gateways with random valid events, and reports them to the checker.
 type eventDriver struct {
 	t        *rapid.T
 	checker  *ruleChecker
@@ -298,6 +308,7 @@
 	backends []choice.Backend
 }
 
+// pendingAttempt is an attempt in flight.
 type pendingAttempt struct {
 	gateway  int
 	id       uint32
@@ -307,6 +318,7 @@
 	deadline time.Duration
 }
 
+// driverActions is the Actions of one gateway.
 type driverActions struct {
 	driver  *eventDriver
 	gateway int
@@ -361,8 +373,8 @@
 func (d *eventDriver) step() {
 	t := d.t
 	waitMS := rapid.IntRange(0, 60).Draw(t, "wait")
-	if rapid.IntRange(0, 39).Draw(t, "stall") == 0 {
-		waitMS = rapid.IntRange(300, 1400).Draw(t, "standstill") // all that is due is found at once after it
+	if rapid.IntRange(0, 39).Draw(t, "is long wait") == 0 {
+		waitMS = rapid.IntRange(300, 1400).Draw(t, "long wait") // everything due within it comes at once
 	}
 	d.checker.now += time.Duration(waitMS) * time.Millisecond
 	for i := len(d.inFlight) - 1; i >= 0; i-- {
@@ -371,17 +383,18 @@
 		}
 	}
 	d.checker.advanceTo(d.checker.now, 80*time.Millisecond)
-	index := rapid.IntRange(0, len(d.gateways)-1).Draw(t, "gate")
+	index := rapid.IntRange(0, len(d.gateways)-1).Draw(t, "gateway")
 	switch rapid.IntRange(0, 9).Draw(t, "event") {
 	case 0, 1, 2, 3:
 		for range rapid.IntRange(1, 6).Draw(t, "burst") {
 			d.nextID++
 			r := choice.Request{
 				ID: d.nextID, Class: rapid.IntRange(0, 2).Draw(t, "class"), Plan: rapid.IntRange(0, 3).Draw(t, "plan"),
-				TimeLeft: time.Duration(rapid.IntRange(100, 1500).Draw(t, "left")) * time.Millisecond,
+				TimeLeft: time.Duration(rapid.IntRange(100, 1500).Draw(t, "time left")) * time.Millisecond,
 				Units:    float64(rapid.IntRange(1, 2).Draw(t, "units")), SetSize: len(d.gateways),
 			}
-			if r.Plan == 1 && r.SetSize > 10 { // under a ceiling a spread leaves two requests for each of its gateways
+			// A ceiling's burst holds at least two requests for each gateway of a customer's set.
+			if r.Plan == 1 && r.SetSize > 10 {
 				if r.SetSize = 10; index >= r.SetSize {
 					r.Plan, r.SetSize = 0, len(d.gateways)
 				}
@@ -393,7 +406,7 @@
 	case 4, 5, 6:
 		if len(d.inFlight) > 0 {
 			status := choice.Status(rapid.SampledFrom([]int{0, 0, 0, 0, 1, 2, 4, 5}).Draw(t, "status"))
-			d.endAttempt(rapid.IntRange(0, len(d.inFlight)-1).Draw(t, "which"), status)
+			d.endAttempt(rapid.IntRange(0, len(d.inFlight)-1).Draw(t, "attempt"), status)
 		}
 	case 7:
 		b := &d.backends[rapid.IntRange(0, len(d.backends)-1).Draw(t, "backend")]
@@ -407,7 +420,7 @@
 		}
 	case 8:
 		if rapid.IntRange(0, 5).Draw(t, "crash") == 0 {
-			// The gateway dies: what it held is the clients' to try again.
+			// The gateway crashes: its open requests are left to retries by their clients.
 			remaining := d.inFlight[:0]
 			for _, p := range d.inFlight {
 				if p.gateway != index {
@@ -424,7 +437,7 @@
 		}
 	case 9:
 		if len(d.inFlight) > 0 {
-			p := d.inFlight[rapid.IntRange(0, len(d.inFlight)-1).Draw(t, "gone")]
+			p := d.inFlight[rapid.IntRange(0, len(d.inFlight)-1).Draw(t, "disconnected")]
 			d.checker.requests[p.id].ended = true
 			d.gateways[p.gateway].ClientDisconnected(d.checker.now, p.id)
 		} else {
@@ -440,7 +453,7 @@
 
 func TestRandomEventsKeepRules(t *testing.T) {
 	for kind := range 5 {
-		t.Run(fmt.Sprint("settings ", kind), func(t *testing.T) {
+		t.Run(fmt.Sprint("configuration ", kind), func(t *testing.T) {
 			rapid.Check(t, func(t *rapid.T) {
 				cfg := ruleConfig(kind)
 				d := &eventDriver{t: t, checker: newRuleChecker(cfg), cfg: cfg, gateways: make([]*choice.Gateway, cfg.Gateways)}
@@ -463,7 +476,8 @@
 	}
 }
 
-// Four hundred gateways with nothing out at a backend that has just started: all together must keep to its budget.
+// None of 400 gateways has an attempt in flight at a backend that has just started. All of them together must not
+// overload it.
 func TestManyGatewaysDoNotOverloadColdBackend(t *testing.T) {
 	cfg := baseConfig()
 	cfg.Gateways = 400
@@ -479,7 +493,7 @@
 			t.Fatal(err)
 		}
 		g.UpdateBackends(0, choice.Cached, list)
-		for i := range uint32(8) { // twice what the fleet can do in the time of the budget
+		for i := range uint32(8) { // twice what the backends can serve in the period of rule 4
 			id := uint32(self)*8 + i + 1
 			r := choice.Request{ID: id, Customer: uint64(id), SetSize: 1, Units: 1, TimeLeft: time.Second}
 			checker.request(self, r)
@@ -489,6 +503,6 @@
 		}
 	}
 	if len(checker.violations) > 0 {
-		t.Errorf("%d breaches, first %s", len(checker.violations), checker.violations[0])
+		t.Errorf("%d violations, the first is %s", len(checker.violations), checker.violations[0])
 	}
 }
--- a/choice/stopping_test.go
+++ b/choice/stopping_test.go
@@ -8,7 +8,7 @@
 	"cedarseam/choice"
 )
 
-// stopRecorder keeps the final answers of requests, and the timers that are set.
+// stopRecorder is an Actions that records attempts, final answers and timers.
 type stopRecorder struct {
 	now     time.Duration
 	sent    map[uint32][]sentAttempt
@@ -17,11 +17,13 @@
 	reasons map[uint32]choice.Reason
 }
 
+// sentAttempt is an attempt and the time at which it times out.
 type sentAttempt struct {
 	backend  uint32
 	deadline time.Duration
 }
 
+// pendingTimer is a timer that has not expired.
 type pendingTimer struct {
 	at    time.Duration
 	token uint64
@@ -48,7 +50,8 @@
 	r.timers = append(r.timers, pendingTimer{r.now + wait, token})
 }
 
-// stopFixture is a gateway of one class of each effect, on a fake clock.
+// stopFixture is a gateway with a fake clock. Its classes are free, guarded in a zone, single-shot and guarded
+// everywhere.
 type stopFixture struct {
 	*choice.Gateway
 	*stopRecorder
@@ -75,7 +78,7 @@
 	return &stopFixture{g, rec}
 }
 
-// advanceTo moves the clock, and lets the timers that are due come.
+// advanceTo sets the clock, and expires the timers that are due in their order.
 func (r *stopFixture) advanceTo(now time.Duration) {
 	for {
 		next := -1
@@ -99,8 +102,8 @@
 	r.Request(r.now, choice.Request{ID: id, Class: class, Customer: uint64(id), TimeLeft: timeLeft, Units: 1, SetSize: 1})
 }
 
-// Each open request has its final answer by the time told: a refusal where
-// another try does no harm, a failure where an attempt may have run.
+// Each open request must have its final answer by the time given to Stop: a refusal if a retry by the client is
+// safe, and a failure if an attempt may have run and must not be repeated.
 func TestOpenRequestsAreAnsweredByStopDeadline(t *testing.T) {
 	r := newStopFixture(t)
 	const free, guarded, singleShot, guardedEverywhere = 0, 1, 2, 3
@@ -111,56 +114,58 @@
 	r.Stop(r.now, 2*time.Second)
 	r.advanceTo(2*time.Second - 1)
 	if len(r.answers) > 0 {
-		t.Fatalf("answered before the time: %v", r.answers)
+		t.Fatalf("answered before the time given to Stop: %v", r.answers)
 	}
 	r.advanceTo(2 * time.Second)
 	for class, want := range map[uint32]string{free: "refused", guarded: "failed", singleShot: "failed", guardedEverywhere: "refused"} {
 		if got := r.answers[class]; len(got) != 1 || got[0] != want || r.reasons[class] != choice.Stopping {
-			t.Errorf("class %d is answered %v for %v, want %s once, for stopping", class, got, r.reasons[class], want)
+			t.Errorf("class %d has the answers %v, reason %v; want %s once, reason stopping",
+				class, got, r.reasons[class], want)
 		}
 	}
-	for class := range uint32(4) { // what is still out ends later
+	for class := range uint32(4) { // attempts still in flight end later
 		for attempt, send := range r.sent[class] {
 			r.Outcome(r.now, choice.Outcome{ID: class, Attempt: attempt, Backend: send.backend, Status: choice.Cancelled, Answered: true})
 		}
 		if len(r.answers[class]) != 1 {
-			t.Errorf("class %d is answered again: %v", class, r.answers[class])
+			t.Errorf("class %d has the answers %v, want no further one", class, r.answers[class])
 		}
 	}
 }
 
-// The bound holds for what comes after the stop as well, first attempts and
-// further ones: none is given more time than is left of the process.
+// After Stop, no attempt has a timeout beyond the time given: neither a first attempt nor a retry, and neither
+// for an earlier nor for a later request.
 func TestStopLimitsAttemptTimeouts(t *testing.T) {
 	r := newStopFixture(t)
-	r.submit(1, 0, 20*time.Second) // before the stop; its further attempt comes after it
+	r.submit(1, 0, 20*time.Second) // submitted before Stop, retried after it
 	r.advanceTo(50 * ms)
 	r.Stop(r.now, 2*time.Second)
 	r.submit(2, 0, 20*time.Second)
-	r.submit(3, 2, time.Second) // its client gives up sooner
+	r.submit(3, 2, time.Second) // the client gives up before the end of the process
 	for id, want := range map[uint32]time.Duration{2: 2 * time.Second, 3: 1050 * ms} {
 		if got := r.sent[id]; len(got) != 1 || got[0].deadline != want {
-			t.Errorf("request %d is sent %v, want once until %v", id, got, want)
+			t.Errorf("request %d has the attempts %v, want one until %v", id, got, want)
 		}
 	}
 	r.advanceTo(100 * ms)
 	r.Outcome(r.now, choice.Outcome{ID: 1, Backend: r.sent[1][0].backend, Status: choice.Error})
 	if got := r.sent[1]; len(got) != 2 || got[1].deadline != 2*time.Second {
-		t.Errorf("the further attempt is sent %v, want until 2s", got)
+		t.Errorf("request 1 has the attempts %v, want a retry until 2s", got)
 	}
-	r.advanceTo(1700 * ms) // less than an aim is left
+	r.advanceTo(1700 * ms) // less time than the aim of the class is left
 	r.submit(4, 0, 20*time.Second)
-	r.submit(5, 0, 200*ms) // the process outlives its client
+	r.submit(5, 0, 200*ms) // its client does not wait until the process ends
 	r.advanceTo(2 * time.Second)
 	r.submit(6, 0, 20*time.Second)
 	for id, want := range map[uint32]int{4: 0, 5: 1, 6: 0} {
 		if got := len(r.sent[id]); got != want || want == 0 && (len(r.answers[id]) != 1 || r.reasons[id] != choice.Stopping) {
-			t.Errorf("request %d is sent %d times, want %d; its end is %v for %v", id, got, want, r.answers[id], r.reasons[id])
+			t.Errorf("request %d is sent %d times, want %d; its answers are %v, reason %v",
+				id, got, want, r.answers[id], r.reasons[id])
 		}
 	}
 }
 
-// A later time changes nothing, an earlier one does.
+// If Stop is called several times, the earliest of the times applies.
 func TestEarliestStopApplies(t *testing.T) {
 	r := newStopFixture(t)
 	r.submit(1, 2, 20*time.Second)
@@ -169,16 +174,16 @@
 	r.Stop(0, 5*time.Second)
 	r.advanceTo(time.Second)
 	if got := r.answers[1]; len(got) != 1 {
-		t.Errorf("at the earliest time it is answered %v, want once", got)
+		t.Errorf("at the earliest time the answers are %v, want one", got)
 	}
 	r.advanceTo(6 * time.Second)
 	if got := r.answers[1]; len(got) != 1 {
-		t.Errorf("later it is answered %v, want once", got)
+		t.Errorf("after the latest time the answers are %v, want one", got)
 	}
 }
 
-// Whatever happens around the stop, each request has exactly one final answer at
-// its time, and nothing is sent from then on.
+// With random requests and outcomes before and after Stop, each request must have exactly one final answer, and
+// nothing may be sent after the time given to Stop.
 func TestEachRequestIsAnsweredOnceAroundStop(t *testing.T) {
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 1))
@@ -198,7 +203,7 @@
 			lastID++
 			r.submit(lastID, rng.IntN(4), time.Duration(1+rng.IntN(3000))*ms)
 			if now >= answerBy && stopped && len(r.sent) > before {
-				t.Fatalf("seed %d: request %d is sent at %v, after %v", seed, lastID, now, answerBy)
+				t.Fatalf("seed %d: request %d is sent at %v, want nothing after %v", seed, lastID, now, answerBy)
 			}
 			for id := uint32(1); id <= lastID; id++ {
 				for attempt := 0; attempt < len(r.sent[id]); attempt++ {
@@ -221,7 +226,8 @@
 				answers++
 			}
 			if answers != 1 {
-				t.Fatalf("seed %d: request %d has %d final answers: %v, served %t", seed, id, answers, r.answers[id], served[id])
+				t.Fatalf("seed %d: request %d has %d final answers, want 1: %v, served %t",
+					seed, id, answers, r.answers[id], served[id])
 			}
 		}
 	}
