--- a/choice/choice_test.go
+++ b/choice/choice_test.go
@@ -493,8 +493,8 @@
 	g, rec := newTestGateway(t, cfg, newBackends(4))
 	admitted := 0
 	for i := range uint32(40) {
-		if submitRequest(g, rec, time.Duration(i)*10*ms, choice.Request{ID: i + 1, Customer: 1, SetSize: 1},
-			1) {
+		if submitRequest(g, rec, time.Duration(i)*10*ms,
+			choice.Request{ID: i + 1, Customer: 1, SetSize: 1}, 1) {
 			admitted++
 		}
 	}
@@ -666,7 +666,7 @@
 
 // A client's retry indicates that another gateway refused the customer. For customers without a reading,
 // retries must be admitted less often than first requests.
-func TestClientRetryOfUnmeasuredCustomerIsLessLikely(t *testing.T) {
+func TestClientRetriesAreAdmittedLessOften(t *testing.T) {
 	cfg := baseConfig()
 	cfg.Gateways = 40
 	admitted := map[bool]int{}
@@ -791,8 +791,8 @@
 					break
 				}
 				id++
-				ok := submitRequest(g, rec, now, choice.Request{ID: id, Customer: 1, SetSize: gatewayCount},
-					-1)
+				ok := submitRequest(g, rec, now,
+					choice.Request{ID: id, Customer: 1, SetSize: gatewayCount}, -1)
 				if now > warmUp {
 					requested++
 					if ok {
@@ -825,8 +825,8 @@
 			submitRequest(g, rec, now, choice.Request{ID: id, Customer: customer, SetSize: 100}, 1.5)
 			id++
 		}
-		if submitRequest(g, rec, 30*time.Second, choice.Request{ID: id, Customer: customer, SetSize: 100},
-			0.2) {
+		if submitRequest(g, rec, 30*time.Second,
+			choice.Request{ID: id, Customer: customer, SetSize: 100}, 0.2) {
 			admitted++
 		}
 	}
--- a/choice/cold_test.go
+++ b/choice/cold_test.go
@@ -177,7 +177,7 @@
 						Elapsed: latency, Answered: true})
 					return backend
 				}
-				// After such a pause, a single answer determines the latency of a backend.
+				// After 30 s without answers, a single one determines the latency of a backend.
 				measured, now := map[uint32]bool{}, 30*time.Second
 				for ; len(measured) < backendCount; now += time.Second {
 					if measured[request(now, 900*ms)] = true; now > 5*time.Minute {
--- a/choice/rules_test.go
+++ b/choice/rules_test.go
@@ -55,6 +55,7 @@
 	ended    bool
 }
 
+// observedAttempt is an attempt and what its outcome tells.
 type observedAttempt struct {
 	backend            choice.Backend
 	sentAt             time.Duration
@@ -168,8 +169,8 @@
 	}
 }
 
-// warmCapacity is the capacity of a warm backend in these tests, in requests a second.
-const warmCapacity = 40
+// ruleWarmCapacity is the capacity of a warm backend in these tests, in requests a second.
+const ruleWarmCapacity = 40
 
 func (c *ruleChecker) checkColdLimit(b observedBackend, age time.Duration) {
 	sends := 1
@@ -180,7 +181,7 @@
 	}
 	capacityFraction := c.cfg.InitialCapacity +
 		(1-c.cfg.InitialCapacity)*age.Seconds()/c.cfg.WarmUpPeriod.Seconds()
-	if limit := c.cfg.ColdOverloadFactor*capacityFraction*warmCapacity*
+	if limit := c.cfg.ColdOverloadFactor*capacityFraction*ruleWarmCapacity*
 		c.cfg.ColdOverloadPeriod.Seconds() + 8; float64(sends) > limit {
 		c.reportViolation(4, "cold backend %d was sent %d in %v, want at most %.0f",
 			b.ID, sends, c.cfg.ColdOverloadPeriod, limit)
@@ -407,7 +408,7 @@
 	t := d.t
 	waitMS := rapid.IntRange(0, 60).Draw(t, "wait")
 	if rapid.IntRange(0, 39).Draw(t, "is long wait") == 0 {
-		waitMS = rapid.IntRange(300, 1400).Draw(t, "long wait") // everything due within it comes at once
+		waitMS = rapid.IntRange(300, 1400).Draw(t, "long wait") // all time-outs within it are handled at its end
 	}
 	d.checker.now += time.Duration(waitMS) * time.Millisecond
 	for i := len(d.inFlight) - 1; i >= 0; i-- {
--- a/choice/stopping_test.go
+++ b/choice/stopping_test.go
@@ -119,8 +119,8 @@
 		t.Fatalf("answered before the time given to Stop: %v", r.answers)
 	}
 	r.advanceTo(2 * time.Second)
-	for class, want := range map[uint32]string{free: "refused", guarded: "failed", singleShot: "failed",
-		guardedEverywhere: "refused"} {
+	for class, want := range map[uint32]string{
+		free: "refused", guarded: "failed", singleShot: "failed", guardedEverywhere: "refused"} {
 		if got := r.answers[class]; len(got) != 1 || got[0] != want || r.reasons[class] != choice.Stopping {
 			t.Errorf("class %d has the answers %v, reason %v; want %s once, reason stopping",
 				class, got, r.reasons[class], want)
@@ -162,8 +162,8 @@
 	r.advanceTo(2 * time.Second)
 	r.submit(6, 0, 20*time.Second)
 	for id, want := range map[uint32]int{4: 0, 5: 1, 6: 0} {
-		if got := len(r.sent[id]); got != want || want == 0 && (len(r.answers[id]) != 1 ||
-			r.reasons[id] != choice.Stopping) {
+		if got := len(r.sent[id]); got != want ||
+			want == 0 && (len(r.answers[id]) != 1 || r.reasons[id] != choice.Stopping) {
 			t.Errorf("request %d is sent %d times, want %d; its answers are %v, reason %v",
 				id, got, want, r.answers[id], r.reasons[id])
 		}
@@ -222,8 +222,7 @@
 					answered := served[id] || len(r.answers[id]) > 0 || status == choice.OK
 					served[id] = served[id] || status == choice.OK && len(r.answers[id]) == 0
 					r.Outcome(now, choice.Outcome{ID: id, Attempt: attempt,
-						Backend: r.sent[id][attempt].backend,
-						Status:  status, Answered: answered})
+						Backend: r.sent[id][attempt].backend, Status: status, Answered: answered})
 				}
 			}
 		}
