--- a/choice/membership_test.go
+++ b/choice/membership_test.go
@@ -10,55 +10,62 @@
 	"cedarseam/choice"
 )
 
-// fleetLine draws one line of a list of few backends.
-func fleetLine(t *rapid.T) choice.Backend {
-	b := choice.Backend{ID: uint32(rapid.IntRange(1, 8).Draw(t, "id")), Weight: rapid.SampledFrom([]float64{0.5, 1, 1.7}).Draw(t, "weight"),
-		State: rapid.SampledFrom([]choice.State{choice.Ready, choice.Ready, choice.Draining, choice.Removed}).Draw(t, "state")}
-	if rapid.IntRange(0, 3).Draw(t, "dated") == 0 {
+// drawBackend draws an entry of a list of eight backends.
+func drawBackend(t *rapid.T) choice.Backend {
+	b := choice.Backend{ID: uint32(rapid.IntRange(1, 8).Draw(t, "id")),
+		Weight: rapid.SampledFrom([]float64{0.5, 1, 1.7}).Draw(t, "weight"),
+		State: rapid.SampledFrom([]choice.State{choice.Ready, choice.Ready, choice.Draining,
+			choice.Removed}).Draw(t, "state")}
+	if rapid.IntRange(0, 3).Draw(t, "start known") == 0 {
 		b.StartKnown, b.Started = true, time.Duration(rapid.IntRange(0, 2).Draw(t, "start"))*time.Second
 	}
 	return b
 }
 
-// What is counted of the fleet is what a walk over it finds, whatever lists,
-// failures, ejections and ends of attempts come in whatever order.
-func TestCountsOfTheFleetAreThoseOfAWalk(t *testing.T) {
+// The sets and running totals of the backends must equal what a walk over all backends finds, after any
+// sequence of lists, requests, outcomes and ejections.
+func TestBackendSetsMatchAllBackends(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		rec := &lastSend{}
-		cfg := plain()
+		rec := &lastSendRecorder{}
+		cfg := baseConfig()
 		cfg.Gateways = rapid.SampledFrom([]int{4, 400}).Draw(t, "gateways")
-		cfg.HandshakeCost, cfg.ConnIdleTimeout = 0.1, time.Duration(rapid.IntRange(0, 2).Draw(t, "idle"))*2*time.Second
+		cfg.HandshakeCost, cfg.ConnIdleTimeout = 0.1,
+			time.Duration(rapid.IntRange(0, 2).Draw(t, "idle"))*2*time.Second
 		cfg.WeightsTrusted = true
 		g, err := choice.New(cfg, 7, 0, rec)
 		if err != nil {
 			t.Fatal(err)
 		}
-		g.UpdateBackends(0, choice.Full, backends(8))
+		g.UpdateBackends(0, choice.Full, newBackends(8))
 		now, id := time.Duration(0), uint32(0)
 		type attempt struct{ id, backend uint32 }
-		var out []attempt
+		var inFlight []attempt
 		for range rapid.IntRange(1, 120).Draw(t, "events") {
 			now += time.Duration(rapid.IntRange(0, 900).Draw(t, "wait")) * ms
 			switch rapid.IntRange(0, 9).Draw(t, "event") {
 			case 0:
-				g.UpdateBackends(now, choice.Delta, rapid.SliceOfN(rapid.Custom(fleetLine), 0, 4).Draw(t, "change"))
+				g.UpdateBackends(now, choice.Delta,
+					rapid.SliceOfN(rapid.Custom(drawBackend), 0, 4).Draw(t, "change"))
 			case 1:
-				kind := rapid.SampledFrom([]choice.ListKind{choice.Full, choice.Cached, choice.Failed}).Draw(t, "kind")
-				g.UpdateBackends(now, kind, rapid.SliceOfN(rapid.Custom(fleetLine), 4, 12).Draw(t, "list"))
+				kind := rapid.SampledFrom([]choice.ListKind{choice.Full, choice.Cached,
+					choice.Failed}).Draw(t, "kind")
+				g.UpdateBackends(now, kind, rapid.SliceOfN(rapid.Custom(drawBackend), 4, 12).Draw(t, "list"))
 			case 2, 3, 4, 5:
 				id++
 				g.Request(now, choice.Request{ID: id, TimeLeft: 2 * time.Second, Units: 0.01, SetSize: 4})
 				if rec.id == id {
-					out = append(out, attempt{id, rec.backend})
+					inFlight = append(inFlight, attempt{id, rec.backend})
 				}
 			default:
-				if len(out) == 0 {
+				if len(inFlight) == 0 {
 					continue
 				}
-				i := rapid.IntRange(0, len(out)-1).Draw(t, "attempt")
-				status := rapid.SampledFrom([]choice.Status{choice.OK, choice.Error, choice.Error, choice.Timeout}).Draw(t, "status")
-				g.Outcome(now, choice.Outcome{ID: out[i].id, Backend: out[i].backend, Status: status, Elapsed: ms, Answered: true})
-				out = slices.Delete(out, i, i+1)
+				i := rapid.IntRange(0, len(inFlight)-1).Draw(t, "attempt")
+				status := rapid.SampledFrom([]choice.Status{choice.OK, choice.Error, choice.Error,
+					choice.Timeout}).Draw(t, "status")
+				g.Outcome(now, choice.Outcome{ID: inFlight[i].id, Backend: inFlight[i].backend,
+					Status: status, Elapsed: ms, Answered: true})
+				inFlight = slices.Delete(inFlight, i, i+1)
 			}
 			if err := choice.CheckBackendSets(g); err != nil {
 				t.Fatalf("at %v: %v", now, err)
@@ -67,138 +74,143 @@
 	})
 }
 
-// The backends that a complete list leaves out go in an order of the gateway's
-// own: the same seed and events give the same actions.
-func TestCompleteListLeavesTheSameFleetEveryTime(t *testing.T) {
+// The removal of backends that a full list does not contain must not depend on the order of a map: the same
+// seed and events must give the same actions.
+func TestFullListIsAppliedDeterministically(t *testing.T) {
 	run := func() []string {
-		rec := record()
-		g, err := choice.New(plain(), 7, 0, rec)
+		rec := newRecorder()
+		g, err := choice.New(baseConfig(), 7, 0, rec)
 		if err != nil {
 			t.Fatal(err)
 		}
-		g.UpdateBackends(0, choice.Full, backends(40))
-		g.UpdateBackends(0, choice.Full, backends(40)[15:30])
+		g.UpdateBackends(0, choice.Full, newBackends(40))
+		g.UpdateBackends(0, choice.Full, newBackends(40)[15:30])
 		for id := range uint32(60) {
-			g.Request(time.Duration(id)*10*ms, choice.Request{ID: id + 1, TimeLeft: time.Second, Units: 0.01, SetSize: 4})
+			g.Request(time.Duration(id)*10*ms, choice.Request{ID: id + 1, TimeLeft: time.Second, Units: 0.01,
+				SetSize: 4})
 		}
-		return rec.log
+		return rec.actions
 	}
 	first := run()
 	for range 20 {
 		if again := run(); !slices.Equal(first, again) {
-			t.Fatalf("the actions are\n%v\nand\n%v", first, again)
+			t.Fatalf("the same events gave the actions\n%v\nand\n%v", first, again)
 		}
 	}
 }
 
-// Customers who have been idle for long are forgotten a few at a time, however
-// many they are, but for those whose attempts are still out.
-func TestIdleCustomersAreForgottenAFewAtATime(t *testing.T) {
-	const many, few = 1000, 20
-	rec := &lastSend{}
-	cfg := plain()
+// Idle customers are evicted in small batches, however many there are, so that no single event takes long. A
+// customer with an attempt in flight is not evicted.
+func TestIdleCustomersAreEvictedInSmallBatches(t *testing.T) {
+	const customerCount, maxEvicted = 1000, 20
+	rec := &lastSendRecorder{}
+	cfg := baseConfig()
 	cfg.Gateways = 1
 	g, err := choice.New(cfg, 7, 0, rec)
 	if err != nil {
 		t.Fatal(err)
 	}
-	g.UpdateBackends(0, choice.Full, backends(200))
-	for id := uint32(1); id <= many; id++ {
+	g.UpdateBackends(0, choice.Full, newBackends(200))
+	for id := uint32(1); id <= customerCount; id++ {
 		g.Request(0, choice.Request{ID: id, Customer: uint64(id), TimeLeft: time.Hour, Units: 1, SetSize: 1})
 		if rec.id == id && id != 500 {
 			g.Outcome(0, choice.Outcome{ID: id, Backend: rec.backend, Elapsed: ms, Answered: true})
 		}
 	}
 	now, known := time.Duration(0), choice.KnownCustomers(g)
-	if known != many {
-		t.Fatalf("%d customers are known, want %d", known, many)
+	if known != customerCount {
+		t.Fatalf("%d customers have a record, want %d", known, customerCount)
 	}
 	for events := 0; known > 1; events++ {
 		now += time.Minute
 		g.TimerExpired(now, 0)
-		if left := choice.KnownCustomers(g); left < known-few || events > many {
-			t.Fatalf("event %d leaves %d customers of %d, want at most %d less", events, left, known, few)
+		if remaining := choice.KnownCustomers(g); remaining < known-maxEvicted || events > customerCount {
+			t.Fatalf("event %d leaves %d customers of %d, want at most %d evicted at an event",
+				events, remaining, known, maxEvicted)
 		} else {
-			known = left
+			known = remaining
 		}
 	}
 	g.TimerExpired(now+time.Hour, 0)
 	if choice.KnownCustomers(g) != 1 {
-		t.Error("a customer whose attempt is out is forgotten")
+		t.Error("a customer with an attempt in flight was evicted")
 	}
 	g.Outcome(now+time.Hour, choice.Outcome{ID: 500, Backend: rec.backend, Elapsed: ms, Answered: true})
 	if g.TimerExpired(now+2*time.Hour, 0); choice.KnownCustomers(g) != 0 {
-		t.Error("he is not forgotten once it has ended")
+		t.Error("the customer was not evicted after its attempt had ended")
 	}
 }
 
-// Whoever makes names up fills no memory: as many customers are known as may be,
-// and those with attempts out besides.
-func TestMadeUpCustomersAreBounded(t *testing.T) {
-	const most = 50
-	cfg := plain()
-	cfg.Gateways, cfg.MaxCustomers = 1, most
+// A client that invents customer ids must not fill the memory: Config.MaxCustomers limits the records, apart
+// from those of customers with attempts in flight.
+func TestCustomerRecordsAreLimited(t *testing.T) {
+	const limit = 50
+	cfg := baseConfig()
+	cfg.Gateways, cfg.MaxCustomers = 1, limit
 	cfg.Plans = append(cfg.Plans, cfg.Plans[0])
-	g, rec := open(t, cfg, backends(300))
-	out := 0
+	g, rec := newTestGateway(t, cfg, newBackends(300))
+	inFlight := 0
 	for id := uint32(1); id <= 2000; id++ {
 		now := time.Duration(id) * ms
-		r := choice.Request{ID: id, Customer: uint64(id), Plan: int(id % 2), SetSize: 1, Units: 1, TimeLeft: time.Hour}
-		if id%20 == 0 { // its attempt stays out
+		r := choice.Request{ID: id, Customer: uint64(id), Plan: int(id % 2), SetSize: 1, Units: 1,
+			TimeLeft: time.Hour}
+		if id%20 == 0 { // its attempt stays in flight
 			if g.Request(now, r); len(rec.sent[id]) > 0 {
-				out++
+				inFlight++
 			}
 			continue
 		}
-		ask(g, rec, now, r, -1)
-		if n := choice.KnownCustomers(g); n > most+out {
-			t.Fatalf("%d customers are known with attempts of %d out, want %d and these at most", n, out, most)
+		submitRequest(g, rec, now, r, -1)
+		if n := choice.KnownCustomers(g); n > limit+inFlight {
+			t.Fatalf("%d customers have a record, %d of them with attempts in flight; want at most %d others",
+				n, inFlight, limit)
 		}
 	}
-	if n := choice.KnownCustomers(g); out < 10 || n < most {
-		t.Errorf("%d customers are known with attempts of %d out, want %d at least and 10", n, out, most)
+	if n := choice.KnownCustomers(g); inFlight < 10 || n < limit {
+		t.Errorf("%d customers have a record and %d attempts are in flight, want at least %d and 10",
+			n, inFlight, limit)
 	}
 }
 
-// A customer whose part of a ceiling is drawn does not get it afresh by being
-// crowded out.
-func TestCrowdedOutCustomerGetsNoFreshCeiling(t *testing.T) {
-	cfg := plain()
+// A customer that has drawn its share of a ceiling must not get a full share again because its record was
+// evicted for other customers and created anew.
+func TestEvictedCustomerGetsNoFullCeiling(t *testing.T) {
+	cfg := baseConfig()
 	cfg.Gateways, cfg.MaxCustomers = 1, 20
 	cfg.Plans[0] = choice.Plan{Rate: 100, Burst: 100, CeilingRate: 0.5, CeilingBurst: 40, Price: 1}
-	g, rec := open(t, cfg, backends(4))
-	now, id := 200*time.Second, uint32(0) // the part of 40 has filled
-	take := func(customer uint64, tries int) (n int) {
-		for range tries {
+	g, rec := newTestGateway(t, cfg, newBackends(4))
+	now, id := 200*time.Second, uint32(0) // the share of 40 units is full
+	countAdmitted := func(customer uint64, requests int) (n int) {
+		for range requests {
 			id++
-			if ask(g, rec, now, choice.Request{ID: id, Customer: customer, SetSize: 1}, -1) {
+			if submitRequest(g, rec, now, choice.Request{ID: id, Customer: customer, SetSize: 1}, -1) {
 				n++
 			}
 		}
 		return n
 	}
-	if first := take(1, 60); first != 40 {
-		t.Fatalf("%d passed of a full part, want 40", first)
+	if first := countAdmitted(1, 60); first != 40 {
+		t.Fatalf("%d admitted with a full share, want 40", first)
 	}
 	for other := uint64(2); other < 40; other++ {
 		now += ms
-		take(other, 1)
+		countAdmitted(other, 1)
 	}
-	if again := take(1, 60); again > 0 {
-		t.Errorf("%d passed after he was crowded out, want none", again)
+	if again := countAdmitted(1, 60); again > 0 {
+		t.Errorf("%d admitted after the eviction, want none", again)
 	}
 	now += 20 * time.Second
-	if later := take(1, 60); later > 10 {
-		t.Errorf("%d passed 20 s later, want the 10 that have filled at most", later)
+	if later := countAdmitted(1, 60); later > 10 {
+		t.Errorf("%d admitted 20 s later, want at most the 10 units refilled", later)
 	}
 }
 
-// BenchmarkMembers measures one change, and a complete list, by the size of the fleet.
-func BenchmarkMembers(b *testing.B) {
+// BenchmarkUpdateBackends measures a delta of one entry, and a full list, by the number of backends.
+func BenchmarkUpdateBackends(b *testing.B) {
 	for name, size := range map[string]uint32{"1500": 1500, "12000": 12_000, "24000": 24_000} {
-		list := backends(size)
-		start := func(b *testing.B) *choice.Gateway {
-			g, err := choice.New(plain(), 7, 0, &lastSend{})
+		list := newBackends(size)
+		newGateway := func(b *testing.B) *choice.Gateway {
+			g, err := choice.New(baseConfig(), 7, 0, &lastSendRecorder{})
 			if err != nil {
 				b.Fatal(err)
 			}
@@ -206,17 +218,17 @@
 			b.ReportAllocs()
 			return g
 		}
-		b.Run("change/"+name, func(b *testing.B) {
-			g := start(b)
+		b.Run("delta/"+name, func(b *testing.B) {
+			g := newGateway(b)
 			states := []choice.State{choice.Draining, choice.Ready}
 			for i := 0; b.Loop(); i++ {
-				line := list[i/2%len(list)]
-				line.State = states[i%2]
-				g.UpdateBackends(0, choice.Delta, []choice.Backend{line})
+				entry := list[i/2%len(list)]
+				entry.State = states[i%2]
+				g.UpdateBackends(0, choice.Delta, []choice.Backend{entry})
 			}
 		})
-		b.Run("complete/"+name, func(b *testing.B) {
-			g := start(b)
+		b.Run("full/"+name, func(b *testing.B) {
+			g := newGateway(b)
 			for b.Loop() {
 				g.UpdateBackends(0, choice.Full, list)
 			}
