--- a/choice/admission.go
+++ b/choice/admission.go
@@ -42,7 +42,8 @@
 
 // admit decides on a request. A request within this gateway's even share of the tokens left in the quota's
 // bucket, as last metered, is always admitted; others are admitted with the customer's admission probability
-// a = 1 - b. Nothing is admitted beyond the concurrency limit, the ceiling or the cap on attempts in flight.
+// a = 1 - b, b being the share to reject. Nothing is admitted beyond the concurrency limit, the ceiling or
+// the cap on attempts in flight.
 func (g *Gateway) admit(c *customer, r *request) Reason {
 	g.advanceSlots(c)
 	units := r.Units
--- a/choice/api.go
+++ b/choice/api.go
@@ -176,15 +176,16 @@
 
 // Request is one request of a client.
 type Request struct {
-	ID          uint32
-	Class       int
-	Plan        int
-	Customer    uint64
-	TimeLeft    time.Duration // time until the client gives up
-	Units       float64       // units drawn from the quota
-	SetSize     int           // number of gateways in the customer's gateway set
-	SetStart    int           // index of the first gateway of that set
-	ClientRetry bool          // marked by the client as a retry: another gateway refused the customer
+	ID       uint32
+	Class    int
+	Plan     int
+	Customer uint64
+	TimeLeft time.Duration // time until the client gives up
+	Units    float64       // units drawn from the quota
+	// The customer's gateway set: the gateways through which requests of this customer may come.
+	SetSize     int  // number of gateways in the set
+	SetStart    int  // index of the first gateway of the set
+	ClientRetry bool // marked by the client as a retry: another gateway refused the customer
 }
 
 // Status is how an attempt ended.
--- a/choice/choice.go
+++ b/choice/choice.go
@@ -152,7 +152,7 @@
 	relativeLatency float64       // EWMA of latencies over the class's mean latency
 	failureRate     float64
 	waitingSince    time.Duration     // first send since the last answer
-	lastOutcome     time.Duration     // last answer, time-out or connection failure
+	lastOutcome     time.Duration     // last outcome other than a refusal or a cancellation
 	reusableConns   int               // free connections of this gateway that have carried an answer
 	ejectedUntil    time.Duration     // 0: not ejected
 	positions       [setKindCount]int // 1 + index in each set; 0: not in it
--- a/choice/health.go
+++ b/choice/health.go
@@ -47,8 +47,8 @@
 	return nil, true
 }
 
-// withinColdLimit reports whether b may have another attempt in flight: a cold backend may have the mean of
-// the warm ones times its capacity fraction, and always one.
+// withinColdLimit reports whether b may have another attempt in flight: a cold backend may have as many as a
+// warm one has on average, times its capacity fraction, and always one.
 func (g *Gateway) withinColdLimit(b *backend) bool {
 	if !g.cold.contains(b) || b.inFlight == 0 {
 		return true
--- a/choice/membership.go
+++ b/choice/membership.go
@@ -6,9 +6,10 @@
 	"time"
 )
 
-// Membership: the known backends, and the sets of those that are ready, cold, ejected or reachable by a
-// reusable connection. The cost of a change to one backend, and of a request, does not depend on the number
-// of backends: the figures that they need are kept as running totals and in separate sets.
+// Membership: the known backends, the sets of those that are ready, cold (still warming up) or reachable by a
+// reusable connection, and the ejections. The cost of a change to one backend, and of a request, does not
+// depend on the number of backends: what they need is kept in the sets, in a list of ejections ordered by
+// their end, and in running totals, such as the number of ejected backends.
 
 // setKind identifies a set of backends.
 type setKind int
@@ -117,7 +118,8 @@
 	}
 }
 
-// addReady adds a backend with a new entry to the ready set and to the totals, unless it is there.
+// addReady counts the weight of a ready backend's new entry, adds the backend to the cold set or removes it
+// from there, and adds it to the ready set and to the other totals unless it is there.
 func (g *Gateway) addReady(b *backend) {
 	g.readyWeight += g.capacityWeight(b)
 	if g.capacityFraction(b) < 1 {
@@ -167,7 +169,8 @@
 
 // Reusable connections.
 
-// reusableEntry is a backend with a reusable connection and the time of its last outcome at that moment.
+// reusableEntry is a backend with a reusable connection, and the time of its last outcome when the entry was
+// queued.
 type reusableEntry struct {
 	lastOutcome time.Duration
 	*backend
--- a/choice/settings.go
+++ b/choice/settings.go
@@ -1,8 +1,9 @@
 package choice
 
-// Parameters of the algorithms. Durations are in meter periods or in multiples of a class's aim (Class.Aim),
-// so that they scale with what Config gives. The weight in an exponentially weighted moving average (EWMA) is
-// the fraction of the new value that a sample makes up.
+// Parameters of the algorithms. Durations are relative, so that they scale with what Config gives. Their
+// units are the meter period, the aim of the request's class (Class.Aim), the longest aim of all classes, and
+// the class mean, which is the mean latency of a class's successful answers. The weight in an exponentially
+// weighted moving average (EWMA) is the fraction of the new value that a sample makes up.
 const (
 	smallTierGateways = 4.0 // gateways up to which each sees enough of every customer, and traffic is even
 
@@ -16,7 +17,7 @@
 
 	surgeAllowanceUnits      = 0.4  // units above the expected demand that do not count as a surge
 	surgeAllowancePerGateway = 0.05 // the same, for each gateway of the customer's set, where that is more
-	clientRetrySurgeUnits    = 1.5  // units that a client's retry adds: another gateway has refused it
+	clientRetrySurgeUnits    = 1.5  // demand that a client's retry adds: another gateway has refused it
 	meanToPeakInFlightRatio  = 0.4  // mean of attempts in flight over their peak in a period
 
 	// Use of the token bucket between readings. The reserve covers what other gateways may have admitted
@@ -30,7 +31,7 @@
 
 	initialUseRatio      = 0.8 // assumed demand, as a fraction of the quota
 	initialOveruseFloor  = 0.6 // a first reading above this fraction of the quota indicates overuse
-	initialRejectedShare = 0.5 // share that the other gateways then reject, if the reading is at the quota
+	initialRejectedShare = 0.5 // share of the demand that others then reject, with the reading at the quota
 	initialDrawnShare    = 0.9 // share of the token bucket that is then drawn
 	meterPriorUnits      = 1.7 // units of quota in a reading that weigh as much as the assumed demand
 	localPriorUnits      = 0.7 // the same without a meter: units of this gateway's share of the quota
@@ -42,9 +43,9 @@
 
 	initialLagPeriods = 2   // meter periods from the end of a period to its first reading, until learned
 	maxLagPeriods     = 13  // meter periods: the longest lag that is recognised
-	lagWindowReadings = 100 // readings over which the lag is averaged
+	lagWindowReadings = 100 // readings over which the lag is learned
 	slotsPerPeriod    = 4   // slots of history in one meter period
-	historySlots      = 64  // slots kept: maxLagPeriods and a few more
+	historySlots      = 64  // slots kept: those of maxLagPeriods and a few more
 
 	// Eviction of idle customers.
 
@@ -90,21 +91,23 @@
 
 	// Choice of a backend: the cheapest of a few random samples.
 
-	minPickSamples            = 3    // lower bound of the samples for one attempt
-	tierPickSamplesPerBackend = 3    // samples for each backend when all gateways choose at one time
-	minReusableGateways       = 15.0 // gateways that reuse connections to one backend: even to a quarter
-	ownInFlightWeight         = 1.5  // cost of one attempt of this gateway in flight at the backend
-	otherInFlightWeight       = 0.5  // cost of one request of other gateways in the backend's report
-	minCostLatency            = 0.5  // class means: lower bound of a backend's latency in its cost
-	crossZoneWeight           = 5.0  // weight of Config.CrossZoneCost
-	handshakeWeight           = 12.0 // weight of Config.HandshakeCost
-	failureWeight             = 4.0  // weight of the failure rates of the backend and of its zone
-	costJitterFactor          = 0.1  // largest random part of the cost
+	minPickSamples            = 3 // lower bound of the samples for one attempt
+	tierPickSamplesPerBackend = 3 // samples for each backend when all gateways choose at one time
+	// A backend with a reusable connection is one more sample, but only if each backend has such connections
+	// from at least this many gateways on average: the sum of their requests there is then even to a quarter.
+	minReusableGateways = 15.0
+	ownInFlightWeight   = 1.5  // cost of one attempt of this gateway in flight at the backend
+	otherInFlightWeight = 0.5  // cost of one request of other gateways in the backend's report
+	minCostLatency      = 0.5  // class means: lower bound of a backend's latency in its cost
+	crossZoneWeight     = 5.0  // weight of Config.CrossZoneCost
+	handshakeWeight     = 12.0 // weight of Config.HandshakeCost
+	failureWeight       = 4.0  // weight of the failure rates of the backend and of its zone
+	costJitterFactor    = 0.1  // largest random part of the cost
 
 	// Probes, where load reports contain the requests in flight.
 
 	probesPerRequest = 0.3 // probes that one first attempt earns
-	maxReportAgeAims = 3.0 // longest aims after which a report counts in the mean of all backends alone
+	maxReportAgeAims = 3.0 // longest aims: the mean of all reports replaces an older one
 
 	retryAfterDivisor = 5 // Config.RetryAfterHint is Config.MaxRetryAfter divided by this
 )
--- a/internal/membership/list.go
+++ b/internal/membership/list.go
@@ -13,11 +13,11 @@
 type Member struct {
 	ID       string  `json:"id"`
 	HostPort string  `json:"host_port"`
-	Locality string  `json:"locality"`
-	Flavor   string  `json:"flavor"`
+	Locality string  `json:"locality"` // its zone
+	Flavor   string  `json:"flavor"`   // the kind of backend
 	Cell     int     `json:"cell"`
 	Phase    string  `json:"phase"`
-	Size     float64 `json:"size"`
+	Size     float64 `json:"size"`        // its registered capacity
 	UpSince  int64   `json:"up_since_ms"` // Unix time of its last start, in milliseconds; 0: long ago
 }
 
--- a/internal/shutdown/schedule.go
+++ b/internal/shutdown/schedule.go
@@ -15,8 +15,8 @@
 
 // What the platform guarantees about the time between SIGTERM and the kill.
 const (
-	// killGracePeriod is the least time from the end of the longest request deadline
-	// to the kill.
+	// killGracePeriod is the least time from the end of the longest request deadline,
+	// counted from SIGTERM, to the kill.
 	killGracePeriod = 700 * time.Millisecond
 	// maxCountedDeadline caps the deadline that counts towards the time of the kill.
 	maxCountedDeadline = 3 * time.Second
