--- a/internal/ingress/client.go
+++ b/internal/ingress/client.go
@@ -52,7 +52,7 @@
 	errServerClose            = errors.New("the connection accepts no further commands")
 	errEvicted                = fmt.Errorf("%w: evicted while idle to make room for a new connection", errServerClose)
 	errDraining               = fmt.Errorf("%w: the ingress is draining and no request is open", errServerClose)
-	errFirstCommandOnly       = fmt.Errorf("%w: the ingress is draining and this is not the first", errServerClose)
+	errFirstCommandOnly       = fmt.Errorf("%w: the ingress is draining and the connection has already sent a command", errServerClose)
 	errReadingStopped         = fmt.Errorf("%w: the ingress has stopped reading", errServerClose)
 	errIncompleteCommand      = errors.New("the ingress stopped reading before the command was complete")
 	errClientDisconnected     = errors.New("client disconnected")
@@ -335,8 +335,9 @@
 }
 
 // resizeBuffer returns a buffer that holds the remaining bytes of buf and has room
-// for the next read. A full buffer that may not grow for want of memory stays full
-// while commands are blocked; otherwise resizeBuffer fails with errNoMemory.
+// for the next read. A full buffer that cannot grow, because it has its maximum size or
+// there is no memory, stays full while commands are blocked; if none are blocked,
+// resizeBuffer fails with errNoMemory.
 func (c *client) resizeBuffer(buf, remaining []byte, blocked bool) ([]byte, error) {
 	budget := c.server.loop.memory
 	switch {
--- a/internal/ingress/client_test.go
+++ b/internal/ingress/client_test.go
@@ -435,20 +435,21 @@
 func TestQueuedConnectionsAreServedAfterStop(t *testing.T) {
 	b := newFakeBackend(t)
 	r := newRig(t, func(cfg *Config) { cfg.Limits.Sockets, cfg.Choice.Probing = 20, false }, b.member("b"))
-	const clientLimit = 11 // with 20 descriptors
+	// With 20 descriptors there may be 4 clients at a time; idle ones are evicted for others.
+	const servedBeforeStop = 11
 	r.closeListenerOnStop()
 	var clients []*fakeClient
-	for range clientLimit + 5 { // the last ones wait in the queue
+	for range servedBeforeStop + 5 { // the last ones wait in the queue
 		c := r.dial()
 		c.send("PING")
 		c.send("Q.DO", testCustomer, newRequestID(), paymentOptions, "BODY")
 		clients = append(clients, c)
 	}
-	for _, c := range clients[:clientLimit] {
+	for _, c := range clients[:servedBeforeStop] {
 		c.wantLine("+PONG")
 	}
 	r.stop()
-	for _, c := range clients[clientLimit:] {
+	for _, c := range clients[servedBeforeStop:] {
 		c.wantLine("+PONG")
 	}
 	go func() {
--- a/internal/ingress/command.go
+++ b/internal/ingress/command.go
@@ -240,7 +240,7 @@
 	status  choice.Status
 	value   []byte      // the value, encoded as a bulk string
 	metered bool        // used is valid
-	used    float64     // the customer's use over all gateways, as a fraction of its rate
+	used    float64     // the customer's use over all gateways, see choice.Outcome.Used
 	load    choice.Load // the load report; Count is 0 if there was no valid one
 }
 
--- a/internal/ingress/discovery.go
+++ b/internal/ingress/discovery.go
@@ -37,7 +37,7 @@
 type discoveryTiming struct {
 	silenceTimeout    time.Duration // a watch without a message for this long is broken
 	answerTimeout     time.Duration // maximum time to the first message of a watch
-	listTimeout       time.Duration // maximum time of a call for the full list
+	listTimeout       time.Duration // maximum time of a call for the full list; no client is served without a list
 	initialRetryDelay time.Duration // the first delay between two calls
 	maxRetryDelay     time.Duration // the longest delay
 	// retryDeadline is when the next call starts at the latest, counted from the last
@@ -48,13 +48,13 @@
 }
 
 // Timing towards an agent on the ingress's own machine, to which lists are pushed. The
-// agent answers at once, and calls to it cost little. A change counts as delivered as soon
-// as the agent has it: an ingress that learns of a drain later than that has less of the
-// grace period left in which it must stop sending. All timeouts and delays are therefore
-// fractions of the grace period, so that a silence, a lost call and a delay together take
-// much less than all of it.
+// agent answers at once and at no cost. A change counts as delivered as soon as the agent
+// has it: an ingress that learns of a drain later than that has less of the grace period
+// left in which it must stop sending. All timeouts and delays are therefore fractions of
+// the grace period, so that a silence, a lost call and a delay together take much less
+// than all of it.
 const (
-	agentAnswerDivisor       = 4  // of the grace period: time for a call, or an overdue line
+	agentAnswerDivisor       = 4  // of the grace period: time for a call, and for a late keep-alive line
 	agentMaxDelayDivisor     = 8  // of the grace period: the longest delay
 	agentInitialDelayDivisor = 32 // of the grace period: the first delay
 	agentRetryJitter         = 0.5
--- a/internal/ingress/discovery_test.go
+++ b/internal/ingress/discovery_test.go
@@ -378,7 +378,8 @@
 }
 
 // runTier runs the discovery clients of a tier for a while, each with the last known list
-// if there is one. It returns when each of them received the new list, or 0.
+// if there is one. It returns, for each ingress, the time from startTime until it received
+// the new list, or 0 if it did not.
 func (s *fakeDiscoveryService) runTier(gateways int, grace, duration time.Duration, lastKnown *membership.List) []time.Duration {
 	receivedAt := make([]time.Duration, gateways)
 	s.startTime = time.Now()
@@ -477,7 +478,7 @@
 // not answer or refuses all calls for the first 4 s. It can answer all of them in 3 s.
 func TestFirstListArrivesWithinTenSeconds(t *testing.T) {
 	const gateways, outageEnd = 300, 4 * time.Second
-	for name, outageMode := range map[string]serviceMode{"silent": unresponsive, "refusing": refusing, "overbooked": available} {
+	for name, outageMode := range map[string]serviceMode{"silent": unresponsive, "refusing": refusing, "overloaded": available} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				s := &fakeDiscoveryService{callsPerSecond: gateways / 3, rejectionCost: 0.2, modeAt: func(at time.Duration) serviceMode {
--- a/internal/ingress/server.go
+++ b/internal/ingress/server.go
@@ -18,7 +18,7 @@
 	// connections is reached.
 	acceptRetryInterval = 5 * time.Millisecond
 	// headroomDivisor sets the headroom: evictions keep 1/headroomDivisor of a connection
-	// limit free.
+	// limit free, because an evicted connection takes a moment to close.
 	headroomDivisor = 16
 	// minIdleUsed is how long a connection that has sent a valid request must have been
 	// idle before it may be evicted.
--- a/internal/ingress/shutdown.go
+++ b/internal/ingress/shutdown.go
@@ -43,10 +43,10 @@
 	return end
 }
 
-// shutDown drains the ingress. It keeps accepting connections while clients still connect,
-// answers every command that is read, and closes each connection when it has no open
-// request. It returns when no connection is left, and at the latest at the end of
-// phaseClose, because the process may be killed soon after.
+// shutDown drains the ingress. It keeps accepting connections until the end of phaseAccept,
+// as clients still connect until then, answers every command that is read, and closes each
+// connection when it has no open request. It returns when no connection is left, and at the
+// latest at the end of phaseClose, because the process may be killed soon after.
 func (s *Server) shutDown(schedule shutdown.Schedule, acceptDone <-chan error) {
 	s.cfg.Log.EnableDetail() // records the outcome of every request during the shutdown
 	s.logState("draining")
@@ -130,7 +130,8 @@
 	}
 }
 
-// closeAll closes the remaining connections, whose clients do not receive their answers.
+// closeAll closes the remaining connections: their clients have not read the answers that
+// are due to them.
 func (s *Server) closeAll() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/ingress/sources.go
+++ b/internal/ingress/sources.go
@@ -62,7 +62,8 @@
 }
 
 // setPending makes a source the pending one. It returns false if its address is followed
-// already, as the current or the pending source.
+// already, as the current or the pending source. A pending source with another address is
+// cancelled in either case.
 func (s *discoverySources) setPending(src *discoverySource) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
