--- a/internal/scale/discovery.go
+++ b/internal/scale/discovery.go
@@ -43,6 +43,12 @@
 	bySecond map[int]int64 // all agents together, by whole seconds since started
 }
 
+// add adds bytes of one agent, sent in the given second since started.
+func (t traffic) add(agent, second, bytes int) {
+	t.byAgent[agent] += int64(bytes)
+	t.bySecond[second] += int64(bytes)
+}
+
 // startDiscoveryStub starts serving a list. Port 0 selects a free port.
 func startDiscoveryStub(list membership.List, port int) (*discoveryStub, error) {
 	listener, port, err := listenOnLoopback(port)
@@ -283,12 +289,19 @@
 	return merged
 }
 
-// recordSent counts bytes that an agent has sent.
-func (d *discoveryStub) recordSent(agent, bytes int) {
+// recordSent counts bytes that an agent is about to send. The returned function subtracts
+// those that were not sent from the same counts, even if resetTraffic was called since.
+func (d *discoveryStub) recordSent(agent, bytes int) (subtract func(unsent int)) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.traffic.byAgent[agent] += int64(bytes)
-	d.traffic.bySecond[int(time.Since(d.traffic.started)/time.Second)] += int64(bytes)
+	counts := d.traffic
+	second := int(time.Since(counts.started) / time.Second)
+	counts.add(agent, second, bytes)
+	return func(unsent int) {
+		d.mu.Lock()
+		defer d.mu.Unlock()
+		counts.add(agent, second, -unsent)
+	}
 }
 
 // resetTraffic restarts the traffic counts at zero.
@@ -335,9 +348,13 @@
 	agent     int
 }
 
-// Write implements net.Conn. The bytes are counted after the write.
+// Write implements net.Conn. The bytes are counted before the write, so that a peer that has
+// received them finds them counted. Bytes that were not written are subtracted afterwards.
 func (c *countingConn) Write(text []byte) (int, error) {
+	subtract := c.discovery.recordSent(c.agent, len(text))
 	n, err := c.Conn.Write(text)
-	c.discovery.recordSent(c.agent, n)
+	if n < len(text) {
+		subtract(len(text) - n)
+	}
 	return n, err
 }
--- a/internal/scale/discovery_test.go
+++ b/internal/scale/discovery_test.go
@@ -4,6 +4,8 @@
 	"bufio"
 	"encoding/json"
 	"fmt"
+	"io"
+	"net"
 	"net/http"
 	"testing"
 	"time"
@@ -137,3 +139,125 @@
 		t.Errorf("%d bytes after a reset", total)
 	}
 }
+
+// newConnectionPair returns both ends of a TCP connection.
+func newConnectionPair(t *testing.T) (server, client *net.TCPConn) {
+	t.Helper()
+	listener, err := net.ListenTCP("tcp", &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)})
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer listener.Close()
+	client, err = net.DialTCP("tcp", nil, listener.Addr().(*net.TCPAddr))
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { client.Close() })
+	server, err = listener.AcceptTCP()
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { server.Close() })
+	deadline := time.Now().Add(testTimeout)
+	server.SetDeadline(deadline)
+	client.SetDeadline(deadline)
+	return server, client
+}
+
+// unreturnedConn is a connection whose Write calls written after the write, before it returns.
+type unreturnedConn struct {
+	net.Conn
+	written func()
+}
+
+func (c unreturnedConn) Write(text []byte) (int, error) {
+	n, err := c.Conn.Write(text)
+	c.written()
+	return n, err
+}
+
+// A peer that has received bytes finds them counted, even while the write that sent them has
+// not returned.
+func TestReceivedBytesAreCountedBeforeWriteReturns(t *testing.T) {
+	const agent, line = 7, "a line of a watch\n"
+	d, _ := newTestDiscovery(t, 1)
+	server, client := newConnectionPair(t)
+	checks := 0
+	checkCounts := func() {
+		checks++
+		if _, err := io.ReadFull(client, make([]byte, len(line))); err != nil {
+			t.Error(err)
+		}
+		if total, maxPerAgent, maxPerSecond := d.trafficTotals(); total != int64(len(line)) || maxPerAgent != total || maxPerSecond != total {
+			t.Errorf("counted on receipt: %d bytes in total, %d by one agent, %d in a second; want %d", total, maxPerAgent, maxPerSecond, len(line))
+		}
+	}
+	connection := &countingConn{unreturnedConn{server, checkCounts}, d, agent}
+	if _, err := connection.Write([]byte(line)); err != nil {
+		t.Fatal(err)
+	}
+	if checks != 1 {
+		t.Errorf("the counts were checked %d times, want once", checks)
+	}
+	if total, _, _ := d.trafficTotals(); total != int64(len(line)) {
+		t.Errorf("counted after the write: %d bytes, want %d", total, len(line))
+	}
+}
+
+// writeUntilReset writes to an agent's connection more than its buffers hold. The peer reads one
+// byte, calls received and resets the connection. The result is the number of bytes written.
+func writeUntilReset(t *testing.T, d *discoveryStub, agent int, received func()) int {
+	t.Helper()
+	const (
+		bufferBytes = 64 << 10
+		textBytes   = 16 << 20
+	)
+	server, client := newConnectionPair(t)
+	server.SetWriteBuffer(bufferBytes)
+	client.SetReadBuffer(bufferBytes)
+	readErr := make(chan error, 1)
+	go func() {
+		_, err := io.ReadFull(client, make([]byte, 1))
+		received()
+		reset(client)
+		readErr <- err
+	}()
+	n, err := (&countingConn{server, d, agent}).Write(make([]byte, textBytes))
+	if err := <-readErr; err != nil {
+		t.Fatal(err)
+	}
+	if err == nil || n <= 0 || n >= textBytes {
+		t.Fatalf("%d of %d bytes written, error %v; want a partial write", n, textBytes, err)
+	}
+	return n
+}
+
+// Of a partial write, only the bytes that were written stay counted.
+func TestUnsentBytesAreNotCounted(t *testing.T) {
+	const agent = 7
+	d, _ := newTestDiscovery(t, 1)
+	sent := int64(writeUntilReset(t, d, agent, func() {}))
+	if total, maxPerAgent, maxPerSecond := d.trafficTotals(); total != sent || maxPerAgent != sent || maxPerSecond != sent {
+		t.Errorf("%d bytes in total, %d by one agent, %d in a second; want %d", total, maxPerAgent, maxPerSecond, sent)
+	}
+	server, _ := newConnectionPair(t)
+	server.Close()
+	if n, err := (&countingConn{server, d, agent}).Write([]byte("line\n")); n != 0 || err == nil {
+		t.Fatalf("%d bytes written to a closed connection, error %v", n, err)
+	}
+	if total, _, _ := d.trafficTotals(); total != sent {
+		t.Errorf("%d bytes after a failed write, want %d", total, sent)
+	}
+}
+
+// A write that spans a reset of the counts does not change the new counts.
+func TestUnsentBytesAreNotSubtractedAfterReset(t *testing.T) {
+	const agent = 7
+	d, _ := newTestDiscovery(t, 1)
+	writeUntilReset(t, d, agent, d.resetTraffic)
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if len(d.traffic.byAgent) != 0 || len(d.traffic.bySecond) != 0 {
+		t.Errorf("after a reset the counts are %v by agent and %v by second, want none", d.traffic.byAgent, d.traffic.bySecond)
+	}
+}
