--- a/internal/scale/run_test.go
+++ b/internal/scale/run_test.go
@@ -3,11 +3,17 @@
 import (
 	"bufio"
 	"encoding/json"
+	"errors"
+	"fmt"
 	"io"
 	"net"
+	"net/netip"
 	"strings"
+	"syscall"
 	"testing"
 	"time"
+
+	"golang.org/x/sys/unix"
 )
 
 func TestCheckRejectsOversizedRun(t *testing.T) {
@@ -157,6 +163,32 @@
 	}
 }
 
+// sendPing sends a command on a connection to a backend and waits for the first line of the
+// reply.
+func sendPing(connection net.Conn) error {
+	connection.SetDeadline(time.Now().Add(testTimeout))
+	if _, err := io.WriteString(connection, "*1\r\n$4\r\nPING\r\n"); err != nil {
+		return err
+	}
+	_, err := bufio.NewReader(connection).ReadString('\n')
+	return err
+}
+
+// pingStoppedBackend opens a connection to a stopped backend and sends a command. replyErr is
+// the error of the command; it is the reset if that arrives before the dial returns. dialErr
+// is any other error of the dial.
+func pingStoppedBackend(dialer *net.Dialer, address string) (replyErr, dialErr error) {
+	connection, err := dialer.Dial("tcp", address)
+	if errors.Is(err, syscall.ECONNRESET) {
+		return err, nil
+	}
+	if err != nil {
+		return nil, err
+	}
+	defer connection.Close()
+	return sendPing(connection), nil
+}
+
 // Stopping a backend resets its connections and those opened afterwards; other backends are
 // not affected.
 func TestStoppedBackendResetsConnections(t *testing.T) {
@@ -165,14 +197,6 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(b.close)
-	sendPing := func(connection net.Conn) error {
-		connection.SetDeadline(time.Now().Add(testTimeout))
-		if _, err := io.WriteString(connection, "*1\r\n$4\r\nPING\r\n"); err != nil {
-			return err
-		}
-		_, err := bufio.NewReader(connection).ReadString('\n')
-		return err
-	}
 	dial := func(number int) net.Conn {
 		connection, err := net.Dial("tcp", backendAddress(number, b.port))
 		if err != nil {
@@ -186,8 +210,15 @@
 		t.Fatalf("running backends: %v, %v", err1, err2)
 	}
 	b.setDown(true, backendAddress(1, b.port))
-	if sendPing(stopped) == nil || sendPing(dial(1)) == nil {
-		t.Error("a stopped backend replies")
+	if sendPing(stopped) == nil {
+		t.Error("a stopped backend replies on an open connection")
+	}
+	replyErr, dialErr := pingStoppedBackend(&net.Dialer{}, backendAddress(1, b.port))
+	if dialErr != nil {
+		t.Fatal(dialErr)
+	}
+	if replyErr == nil {
+		t.Error("a stopped backend replies on a new connection")
 	}
 	if err := sendPing(running); err != nil {
 		t.Errorf("another backend: %v", err)
@@ -198,6 +229,74 @@
 	}
 }
 
+// connectAndAwaitReset is the Control function of a net.Dialer. It connects the socket itself
+// and waits until the peer has reset the connection, so the dial finds the reset when it
+// connects.
+func connectAndAwaitReset(_, address string, raw syscall.RawConn) error {
+	peer, err := netip.ParseAddrPort(address)
+	if err != nil {
+		return err
+	}
+	var resetErr error
+	err = raw.Control(func(descriptor uintptr) {
+		err := unix.Connect(int(descriptor), &unix.SockaddrInet4{Port: int(peer.Port()), Addr: peer.Addr().As4()})
+		if err != unix.EINPROGRESS {
+			resetErr = fmt.Errorf("connect returns %v, want %v", err, unix.EINPROGRESS)
+			return
+		}
+		resetErr = awaitHangup(int(descriptor))
+	})
+	return errors.Join(err, resetErr)
+}
+
+// awaitHangup waits until the peer has closed or reset the connection of a socket.
+func awaitHangup(descriptor int) error {
+	sockets := []unix.PollFd{{Fd: int32(descriptor), Events: unix.POLLRDHUP}}
+	for {
+		ready, err := unix.Poll(sockets, int(testTimeout.Milliseconds()))
+		switch {
+		case err == unix.EINTR:
+		case err != nil:
+			return err
+		case ready == 0:
+			return errors.New("the peer has not closed the connection before the timeout")
+		default:
+			return nil
+		}
+	}
+}
+
+// The reset of a stopped backend may arrive before the dial returns. It is then the error of
+// the dial, and pingStoppedBackend returns it like a reset that arrives later.
+func TestResetDuringDialIsResetOfStoppedBackend(t *testing.T) {
+	b, err := startBackendStub()
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(b.close)
+	address := backendAddress(1, b.port)
+	b.setDown(true, address)
+	replyErr, dialErr := pingStoppedBackend(&net.Dialer{Control: connectAndAwaitReset}, address)
+	if dialErr != nil {
+		t.Fatalf("the reset is returned as an error of the dial: %v", dialErr)
+	}
+	var operation *net.OpError
+	if !errors.As(replyErr, &operation) || operation.Op != "dial" || !errors.Is(replyErr, syscall.ECONNRESET) {
+		t.Errorf("the error is %v, want a reset during the dial", replyErr)
+	}
+}
+
+// Any error of the dial but the reset is returned as such.
+func TestDialErrorIsNotResetOfStoppedBackend(t *testing.T) {
+	for _, want := range []error{syscall.ECONNREFUSED, syscall.ECONNABORTED, syscall.ETIMEDOUT, syscall.EPIPE} {
+		fail := func(_, _ string, _ syscall.RawConn) error { return want }
+		replyErr, dialErr := pingStoppedBackend(&net.Dialer{Control: fail}, "127.0.0.1:0")
+		if replyErr != nil || !errors.Is(dialErr, want) {
+			t.Errorf("the error of the command is %v, that of the dial %v; want %v from the dial", replyErr, dialErr, want)
+		}
+	}
+}
+
 func TestFiguresOverBudgetAreMarked(t *testing.T) {
 	r := RunResult{Figures: []Figure{{"fine", 1, "ms", &BudgetLatency}, {"free", 99, "ms", nil}}}
 	if r.OverBudget() || strings.Contains(r.Markdown(), "over budget") {
