--- a/cmd/cedarseam/shutdown_test.go
+++ b/cmd/cedarseam/shutdown_test.go
@@ -20,7 +20,7 @@
 
 const (
 	// killGrace is the time between the longest deadline of a request and SIGKILL: SIGKILL may
-	// follow SIGTERM after the longest deadline plus this time.
+	// follow SIGTERM after the longest deadline, of which at most 3 s count, plus this time.
 	killGrace = 700 * time.Millisecond
 	// lateRequestDelay is the time from SIGTERM to a late request. It is longer than killGrace, so
 	// that a client that waits for almost longestDeadline (1.9 s) waits beyond SIGKILL.
@@ -218,8 +218,8 @@
 	}
 }
 
-// suspensionTime is how long the operating system may suspend the process between reading its clock
-// and writing.
+// suspensionTime is the longest time for which the operating system may suspend the process between
+// reading its clock and writing. The guarantees of a shutdown hold up to it.
 const suspensionTime = 150 * time.Millisecond
 
 // The guarantees of a shutdown must also hold if the process is suspended shortly before SIGKILL:
--- a/cmd/scale/main.go
+++ b/cmd/scale/main.go
@@ -78,17 +78,17 @@
 }
 
 const (
-	minSizes   = 2 // a fit needs two points
-	maxSize    = 100_000
-	maxRepeats = 100
-	minSize    = 80 // two racks of 40 backends
+	minSizeCount = 2 // a fit needs two points
+	maxSize      = 100_000
+	maxRepeats   = 100
+	minSize      = 80 // two racks of 40 backends
 )
 
 // Validate returns an error if a flag has an invalid value. It is called by kong.
 func (c *slopesCommand) Validate() error {
 	for _, sizes := range [][]int{c.Backends, c.Tenants, c.Connections} {
-		if len(sizes) < minSizes {
-			return fmt.Errorf("%v: a slope needs at least %d sizes", sizes, minSizes)
+		if len(sizes) < minSizeCount {
+			return fmt.Errorf("%v: a slope needs at least %d sizes", sizes, minSizeCount)
 		}
 		if smallest, largest := slices.Min(sizes), slices.Max(sizes); smallest < minSize || largest > maxSize {
 			return fmt.Errorf("%v: sizes must be from %d to %d", sizes, minSize, maxSize)
@@ -207,6 +207,7 @@
 	return nil
 }
 
+// hollowCommand runs ingresses without clients. The command run starts it as a child process.
 type hollowCommand struct{}
 
 // Run runs the control-plane-only ingresses that the standard input specifies.
--- a/internal/scale/backends.go
+++ b/internal/scale/backends.go
@@ -20,8 +20,8 @@
 	conns map[net.Conn]struct{}
 }
 
-// quotaUseReport is the report field of every reply: the customer's use of its quota
-// in percent.
+// quotaUseReport is the report field of every reply: the customer's use over all
+// ingresses, in percent of its quota rate.
 const quotaUseReport = "used=31"
 
 // startBackendStub starts serving the addresses of all backends on one port.
--- a/internal/scale/discovery_test.go
+++ b/internal/scale/discovery_test.go
@@ -164,15 +164,15 @@
 	return server, client
 }
 
-// unreturnedConn is a connection whose Write calls written after the write, before it returns.
-type unreturnedConn struct {
+// hookedConn is a connection whose Write calls afterWrite between the write and its return.
+type hookedConn struct {
 	net.Conn
-	written func()
+	afterWrite func()
 }
 
-func (c unreturnedConn) Write(text []byte) (int, error) {
+func (c hookedConn) Write(text []byte) (int, error) {
 	n, err := c.Conn.Write(text)
-	c.written()
+	c.afterWrite()
 	return n, err
 }
 
@@ -192,7 +192,7 @@
 			t.Errorf("counted on receipt: %d bytes in total, %d by one agent, %d in a second; want %d", total, maxPerAgent, maxPerSecond, len(line))
 		}
 	}
-	connection := &countingConn{unreturnedConn{server, checkCounts}, d, agent}
+	connection := &countingConn{hookedConn{server, checkCounts}, d, agent}
 	if _, err := connection.Write([]byte(line)); err != nil {
 		t.Fatal(err)
 	}
@@ -204,8 +204,9 @@
 	}
 }
 
-// writeUntilReset writes to an agent's connection more than its buffers hold. The peer reads one
-// byte, calls received and resets the connection. The result is the number of bytes written.
+// writeUntilReset writes to an agent's connection more than its buffers hold, so that the write
+// is still blocked when the peer resets the connection. The peer first reads one byte and calls
+// received. The result is the number of bytes written.
 func writeUntilReset(t *testing.T, d *discoveryStub, agent int, received func()) int {
 	t.Helper()
 	const (
--- a/internal/scale/fit.go
+++ b/internal/scale/fit.go
@@ -15,7 +15,7 @@
 // Slope is one cost as a function of size, with fits through the medians.
 type Slope struct {
 	Name      string  `json:"name"`
-	Dimension string  `json:"of"` // what the size counts: backends, tenants or connections
+	Dimension string  `json:"of"` // what the size counts: backends, tenants (customers) or connections
 	Unit      string  `json:"unit"`
 	Points    []Point `json:"points"`
 	// PerThousand is the growth per 1,000 of size: the slope of the least-squares line.
--- a/internal/scale/fleet.go
+++ b/internal/scale/fleet.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	flavor    = "std-2core"
+	flavor    = "std-2core" // the kind of all backends
 	cellCount = 16
 	rackSize  = 40 // backends behind one switch, which fail together
 	// generationOffset is the position of the generation in a backend's id. The number of
--- a/internal/scale/hollow.go
+++ b/internal/scale/hollow.go
@@ -17,7 +17,8 @@
 	"cedarseam/internal/ingress"
 )
 
-// ControlPlaneSpec specifies the control-plane-only ingresses that one process runs.
+// ControlPlaneSpec specifies the control-plane-only ingresses that one control plane
+// process runs: a child process with the command hollow of this program.
 // They follow discovery and keep the gateway's state, but serve no clients.
 type ControlPlaneSpec struct {
 	Ingresses int      `json:"ingresses"` // in the whole deployment
--- a/internal/scale/process.go
+++ b/internal/scale/process.go
@@ -25,13 +25,13 @@
 
 // ingressSpec specifies one ingress process.
 type ingressSpec struct {
-	program    string
+	program    string // path of the ingress program
 	name       string
-	index      int
-	ingresses  int
-	discovery  string
-	knownList  *membership.List
-	maxSockets int
+	index      int              // number of the ingress
+	ingresses  int              // in the whole deployment
+	discovery  string           // address of its agent
+	knownList  *membership.List // last-known-good list in its configuration; nil for none
+	maxSockets int              // limit on open sockets
 }
 
 // ingressProcess is a running ingress process.
--- a/internal/scale/run.go
+++ b/internal/scale/run.go
@@ -35,16 +35,16 @@
 // The parameters and limits of a run.
 const (
 	controlPlaneProcessesPerCore = 1
-	releaseSteps                 = 20
-	partitionReleaseSteps        = 4
+	releaseSteps                 = 20                     // in which the release replaces its backends
+	partitionReleaseSteps        = 4                      // of the replacement during the partition
 	convergenceTimeout           = 60 * time.Second       // until all ingresses have applied a change
 	convergencePollInterval      = 100 * time.Millisecond // between samples while waiting for it
 	memoryPerIngress             = 512 << 10              // bytes, without the list
 	// memoryPerBackend is the bytes per backend at each ingress: 850 in use, and the garbage
 	// that controlPlaneGCPercent allows.
 	memoryPerBackend = 1110
-	memoryDivisor    = 2 // a run may need at most 1/memoryDivisor of the machine's memory
-	maxProcesses     = 300
+	memoryDivisor    = 2   // a run may need at most 1/memoryDivisor of the machine's memory
+	maxProcesses     = 300 // a run must start fewer
 )
 
 // Check returns an error if this machine cannot run the options.
@@ -333,7 +333,8 @@
 
 // awaitConvergence waits until every control-plane-only ingress has applied the last
 // revision, and returns the last sample and all lists applied since the phase began. It
-// does not wait in a phase without changes, nor while some ingresses are partitioned.
+// does not wait after a phase without changes, except the first, in which all ingresses
+// receive their first list, nor while some ingresses are partitioned.
 func (r *run) awaitConvergence(before controlPlaneSample) (last controlPlaneSample, applied []appliedList, err error) {
 	target := r.discovery.currentRevision()
 	converged := map[int]bool{}
--- a/internal/scale/run_test.go
+++ b/internal/scale/run_test.go
@@ -76,18 +76,18 @@
 	samples := json.NewDecoder(replies)
 	await := func(revision int64) {
 		t.Helper()
-		held := map[int]bool{}
-		for started := time.Now(); len(held) < 2; {
+		applied := map[int]bool{}
+		for started := time.Now(); len(applied) < 2; {
 			sample := requestSample(t, requests, samples)
 			for _, l := range sample.Applied {
-				held[l.Ingress] = held[l.Ingress] || l.Revision == revision
+				applied[l.Ingress] = applied[l.Ingress] || l.Revision == revision
 			}
 			if sample.CPUTime <= 0 || sample.Resident <= 0 || sample.Heap <= 0 || time.Since(started) > testTimeout {
 				t.Fatalf("after %v the sample is %+v", time.Since(started), sample)
 			}
 		}
-		if !held[4] || !held[5] {
-			t.Errorf("ingresses %v applied revision %d, want 4 and 5", held, revision)
+		if !applied[4] || !applied[5] {
+			t.Errorf("ingresses %v applied revision %d, want 4 and 5", applied, revision)
 		}
 	}
 	await(1)
@@ -133,7 +133,8 @@
 					if line == "$5\r\n" || line == "$4\r\n" {
 						continue
 					}
-					// The last line of a command is its body, or its parameters if it has none.
+					// The last line of a command is its body. A command of the class view has
+					// none and ends with its parameters.
 					if strings.HasPrefix(line, "BODY") || strings.Contains(line, "c=view") {
 						io.WriteString(connection, answer)
 					}
@@ -175,8 +176,8 @@
 }
 
 // pingStoppedBackend opens a connection to a stopped backend and sends a command. replyErr is
-// the error of the command; it is the reset if that arrives before the dial returns. dialErr
-// is any other error of the dial.
+// the error of the command. A reset that arrives before the dial returns is returned as
+// replyErr too; dialErr is any other error of the dial.
 func pingStoppedBackend(dialer *net.Dialer, address string) (replyErr, dialErr error) {
 	connection, err := dialer.Dial("tcp", address)
 	if errors.Is(err, syscall.ECONNRESET) {
@@ -286,7 +287,7 @@
 	}
 }
 
-// Any error of the dial but the reset is returned as such.
+// An error of the dial other than a reset is returned as dialErr.
 func TestDialErrorIsNotResetOfStoppedBackend(t *testing.T) {
 	for _, want := range []error{syscall.ECONNREFUSED, syscall.ECONNABORTED, syscall.ETIMEDOUT, syscall.EPIPE} {
 		fail := func(_, _ string, _ syscall.RawConn) error { return want }
--- a/internal/scale/slopes.go
+++ b/internal/scale/slopes.go
@@ -169,6 +169,7 @@
 
 // measureRequests measures the time that the gateway takes for one request and its outcome.
 func (m *measurement) measureRequests(size int) error {
+	// The index of a name is the number of cold backends.
 	for cold, name := range []string{"a request, all warm", "a request, one cold"} {
 		gateway, recorder, err := newGateway(size, cold)
 		if err != nil {
@@ -209,8 +210,8 @@
 	return nil
 }
 
-// newGateway returns a gateway of the target deployment with size backends. The first cold
-// of them stay in slow start for the whole measurement.
+// newGateway returns a gateway of the target deployment with size backends. The first
+// backends, cold in number, stay in slow start for the whole measurement.
 func newGateway(size, cold int) (*choice.Gateway, *attemptRecorder, error) {
 	config, err := controlPlaneConfig(TargetIngresses, 0)
 	if err != nil {
--- a/internal/scale/target.go
+++ b/internal/scale/target.go
@@ -9,7 +9,7 @@
 const (
 	TargetIngresses      = 810
 	TargetBackends       = 12_000
-	TargetTenants        = 32_000
+	TargetTenants        = 32_000 // customers
 	TargetRegions        = 2
 	TargetZonesPerRegion = 4
 )
--- a/internal/scale/timeline.go
+++ b/internal/scale/timeline.go
@@ -107,7 +107,8 @@
 	return err
 }
 
-// reconnect ends the partition and publishes one more change.
+// reconnect ends the partition and publishes one more change, an update that leaves its backend
+// as it is. The delays after the reconnect are those of this change.
 func (r *run) reconnect() error {
 	first := r.fleet.Members[0]
 	r.discovery.setPartitioned(false, r.evenAgents()...)
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -324,7 +324,7 @@
 	littleEndian.PutUint32(reply.appendAction(actionFail, instance)[6:], id)
 }
 
-// Cancel appends an action that cancels an attempt in flight.
+// Cancel appends an action that stops waiting for an attempt.
 func (reply *Reply) Cancel(instance, id uint32, attempt int) {
 	action := reply.appendAction(actionCancel, instance)
 	littleEndian.PutUint32(action[6:], id)
